--- a/bench/colocation_variants.py
+++ b/bench/colocation_variants.py
@@ -4,23 +4,29 @@
 from typing import Callable, Final
 from unittest.mock import patch
 
-from hyssopring.jobs import harms, moves, options, pacing, planning
-from hyssopring.jobs.fleet import Placed
-from hyssopring.jobs.harms import Harm, Harms
+from hyssopring.jobs import (
+    interference,
+    moves,
+    placement_option,
+    pacing,
+    planning,
+)
+from hyssopring.jobs.fleet import PlacedAttempt
+from hyssopring.jobs.interference import InterferenceEstimate, InterferenceModel
 from hyssopring.jobs.urgency import Urgency
 
 Change = Callable[[], object]
 
 AS_IT_IS: Final = 'as it is'
 _NEVER_MS: Final = 1e9
-_UNKNOWN: Final = harms._UNKNOWN
+_UNKNOWN: Final = interference._UNKNOWN_PAIR
 
 
 def _set(owner, name, value) -> Change:
     return partial(patch.object, owner, name, value)
 
 
-def _unlearned(_harms, _keeper, _filler) -> Harm:
+def _unlearned(_harms, _keeper, _filler) -> InterferenceEstimate:
     return _UNKNOWN
 
 
@@ -54,7 +60,7 @@
 
 
 def _anywhere(option, step, is_starved) -> bool:
-    return step.charge.fits_in(option.free)
+    return step.reserved_size.fits_in(option.free)
 
 
 def _no_relief(_moves, _takers) -> None:
@@ -65,31 +71,42 @@
 
 VARIANTS_BY_NAME: Final[dict[str, tuple[Change, ...]]] = {
     AS_IT_IS: (),
-    'no control': (_NO_PACE, _set(options.Option, 'allows', _anywhere)),
+    'no control': (
+        _NO_PACE,
+        _set(placement_option.PlacementOption, 'allows', _anywhere),
+    ),
     'no pace': (_NO_PACE,),
     'no headroom kept at placement': (
-        _set(options.Option, '_leaves_headroom', lambda _option, _step: True),
+        _set(
+            placement_option.PlacementOption,
+            '_leaves_headroom',
+            lambda _option, _step: True,
+        ),
+    ),
+    'nothing learned': (_set(InterferenceModel, 'per_core', _unlearned),),
+    'no strained rule': (
+        _set(placement_option, '_is_strained', _never_strained),
     ),
-    'nothing learned': (_set(Harms, 'per_core', _unlearned),),
-    'no strained rule': (_set(options, '_is_strained', _never_strained),),
     'no starved rule': (_set(planning, '_STARVED_MS', _NEVER_MS),),
     'no relief': (_set(moves.TaskMoves, 'relieve', _no_relief),),
     'first come first served': (_set(planning, 'urgency', _by_age),),
     'by deadline': (_set(planning, 'urgency', _by_deadline),),
     'by work left alone': (_set(planning, 'urgency', _by_work),),
     'keepers anywhere': (
-        _set(options, '_TARGETS_TOGETHER', 0),
-        _set(options, '_TARGET_BESIDE_FILLER', 0),
+        _set(placement_option, '_TARGETS_TOGETHER', 0),
+        _set(placement_option, '_TARGET_BESIDE_FILLER', 0),
     ),
     'fillers counted by what they ask for': (
-        _set(Placed, 'cpu_in_use', property(_asked)),
+        _set(PlacedAttempt, 'cpu_in_use', property(_asked)),
         _set(
-            Placed,
+            PlacedAttempt,
             'cpu_at_full_pace',
             property(lambda placed: placed.step.size.cpu_millis),
         ),
     ),
-    'keepers use three quarters': (_set(options, '_KEEPER_UNUSED', 0.25),),
+    'keepers use three quarters': (
+        _set(placement_option, '_KEEPER_UNUSED', 0.25),
+    ),
     'paces cut late': (
         _set(pacing, '_LOW', 1.05),
         _set(pacing, '_AIM', 1.3),
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -15,7 +15,7 @@
 from bench.slopes_daemons import Daemons, grow
 from bench.slopes_fit import slope_record
 from bench.slopes_processes import Processes, free_address
-from hyssopring.membership import beat_interval
+from hyssopring.membership import heartbeat_interval_ms
 from hyssopring.membership.subset import FULL_MESH, choose_entries
 from hyssopring.protocol.messages import EntryMember
 
@@ -67,7 +67,7 @@
         time.sleep(daemons.settle_s + 6 + agents * 0.003)
         used = node.measure(daemons.window_s)
         print(
-            f'    {agents} agents: {beat_interval(agents):.0f} ms,'
+            f'    {agents} agents: {heartbeat_interval_ms(agents):.0f} ms,'
             f' {used["cpu"]:.1f} ms of processor time a second,'
             f' {used["sent"]:.0f} B/s sent, {used["received"]:.0f} B/s received'
         )
@@ -83,7 +83,7 @@
         for member in choose_entries(f'agent-{number}', members):
             taken[member] += 1
     mean = statistics.mean(taken.values())
-    interval = beat_interval(mean)
+    interval = heartbeat_interval_ms(mean)
     links = min(entries, FULL_MESH)
 
     def cost(name, count):
--- a/bench/placement_policies.py
+++ b/bench/placement_policies.py
@@ -2,20 +2,23 @@
 
 import math
 
-from hyssopring.placement import choice
-from hyssopring.placement.interference import Interference, TemplateHarm
+from hyssopring.placement import worker_ranking
+from hyssopring.placement.interference import (
+    InterferenceTracker,
+    TemplateSlowdown,
+)
 from hyssopring.placement.slowdown import Prediction, SlowdownModel
 
 LIMIT_FACTOR = math.exp(0.3)
 
 
-class _NoHarm(TemplateHarm):
+class _NoHarm(TemplateSlowdown):
     """Ranks by room alone."""
 
     def predict(self, agent, size):
         return 0.0
 
-    def without_limit(self):
+    def unlimited(self):
         return self
 
 
@@ -28,10 +31,10 @@
         return 10.0 * number + free_part
 
 
-class _Blind(Interference):
+class _Blind(InterferenceTracker):
     harm_class = _NoHarm
 
-    def harm_of(self, service_name, now):
+    def template_slowdown(self, service_name, now):
         return self.harm_class(self, service_name.rpartition('/')[2], now)
 
 
@@ -103,20 +106,20 @@
     model.truth = truth
     kind = {
         'first fit': _First, 'spread': _Blind, 'reactive': _Blind
-    }.get(name, Interference)  # fmt: skip
+    }.get(name, InterferenceTracker)  # fmt: skip
     interference = kind(model)
     planner._interference = interference
     planner._assigner._interference = interference
-    planner._relief.guard._interference = interference
-    planner._relief.control._interference = interference
+    planner._mitigation.tail_guard._interference = interference
+    planner._mitigation.share_control._interference = interference
     if name == 'reactive' or name == 'static':
-        planner._relief.control.review = lambda record: None
+        planner._mitigation.share_control.review = lambda record: None
     if name in {'first fit', 'spread', 'all-knowing'}:
-        planner._relief.control.review = lambda record: None
-        planner._relief.guard.review = lambda record, now: None
-        planner._relief._has_other_share = lambda record: False
+        planner._mitigation.share_control.review = lambda record: None
+        planner._mitigation.tail_guard.review = lambda record, now: None
+        planner._mitigation._has_other_share = lambda record: False
     if name == 'first fit':
-        choice.WorkerRanking._next_rack = _first_rack
+        worker_ranking.WorkerRanking._next_rack = _first_rack
 
 
 def throttle_exactly(vm):
--- a/bench/placement_starts.py
+++ b/bench/placement_starts.py
@@ -109,7 +109,7 @@
             'what': 'submit', 'job': f'job-{number}', 'service': 't/feed',
             'kind': 'batch', 'tasks': TASKS,
         }  # fmt: skip
-        plan.take_inbox_row(Row(f'inbox/0000/job-{number}', 1, '', document))
+        plan.handle_inbox_row(Row(f'inbox/0000/job-{number}', 1, '', document))
         before, began = links.starts, time.process_time()
         while links.starts - before < TASKS:
             clock.advance(20)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -6,7 +6,7 @@
 
 import math
 
-from hyssopring.routing import Choice, LatencyWindow
+from hyssopring.routing import BackendChoice, LatencyWindow
 
 
 class _Baseline:
@@ -15,19 +15,19 @@
         self.rng = rng
         self._window = _Never()
 
-    def window(self, service_name):
+    def latency_window(self, service_name):
         return self._window
 
     def choose(self, candidates, now):
         routable = [view for view in candidates if view.is_routable]
         if not routable:
             return None
-        return Choice(self.pick(routable), 'baseline')
+        return BackendChoice(self.pick(routable), 'baseline')
 
-    def sent(self, view, request_id, now):
+    def on_sent(self, view, request_id, now):
         """Baselines learn nothing."""
 
-    def heard(self, record, response, now):
+    def on_response(self, record, response, now):
         """Baselines learn nothing."""
 
     def utilization(self, service_name):
@@ -38,7 +38,7 @@
 
 
 class _Never(LatencyWindow):
-    p95 = math.inf
+    p95_ms = math.inf
 
 
 class RandomChoice(_Baseline):
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -62,7 +62,7 @@
     def check_silence(self, now: float) -> None:
         if self.connection is None:
             return
-        limit = self.owner.core.sessions.silence_limit(self.entry_id)
+        limit = self.owner.core.sessions.silence_timeout_ms(self.entry_id)
         if now - self.connection.last_heard > limit:
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             self.connection.abort()
--- a/hyssopring/agent/sessions.py
+++ b/hyssopring/agent/sessions.py
@@ -5,7 +5,7 @@
 
 from hyssopring.agent.tasks import TaskSupervisor
 from hyssopring.clock import Clock
-from hyssopring.membership import silence_limit
+from hyssopring.membership import silence_timeout_ms
 from hyssopring.protocol.messages import LeaseGrant, TaskReport
 
 __all__ = ('EntrySession', 'EntrySessions', 'HEARTBEAT_MS', 'News')
@@ -103,11 +103,11 @@
         """Return the session with an entry."""
         return self._session_by_entry.get(entry_id)
 
-    def silence_limit(self, entry_id: str) -> float:
+    def silence_timeout_ms(self, entry_id: str) -> float:
         """Return after how many milliseconds a connection is silent."""
         session = self.get(entry_id)
         beat_ms = HEARTBEAT_MS if session is None else session.beat_ms
-        return silence_limit(beat_ms)
+        return silence_timeout_ms(beat_ms)
 
     def due(self, news: News) -> list[str]:
         """Return the entries to send a heartbeat to now.
--- a/hyssopring/entry/core.py
+++ b/hyssopring/entry/core.py
@@ -21,8 +21,8 @@
     EntryRoster,
     Fleet,
     IncarnationGuard,
-    beat_interval,
-    silence_limit,
+    heartbeat_interval_ms,
+    silence_timeout_ms,
 )
 from hyssopring.metrics import Metrics
 from hyssopring.placement import LeaseTimes, Planner, PlannerPorts
@@ -204,12 +204,12 @@
         self._ask_if_behind(record)
         record.is_stopping |= self.configuration.is_drained(record.agent_id)
         self.planner.on_heartbeat(record)
-        record.beat_ms = beat_interval(len(self.fleet))
+        record.heartbeat_interval_ms = heartbeat_interval_ms(len(self.fleet))
         ack = HeartbeatAck(
             message.sequence,
             self.configuration.version,
-            self.planner.grants(record),
-            record.beat_ms,
+            self.planner.grant_leases(record),
+            record.heartbeat_interval_ms,
         )
         self._links.send(record.agent_id, ack)
 
@@ -255,7 +255,7 @@
         """Abort connections on which nothing was heard for too long."""
         for record in self.fleet.agents:
             quiet = self.router.liveness.quiet_ms(record)
-            if quiet > silence_limit(record.beat_ms):
+            if quiet > silence_timeout_ms(record.heartbeat_interval_ms):
                 log_event(Event.CONNECTION_SILENT, agent=record.agent_id)
                 self._links.drop(record.agent_id)
 
@@ -271,7 +271,7 @@
         entry_list = self._entry_list()
         if entry_list != self._told:
             self._told = entry_list
-            self.router.admission.entries = len(entry_list.members)
+            self.router.admission.entry_count = len(entry_list.members)
             for record in self.fleet.agents:
                 self._links.send(record.agent_id, entry_list)
         registry.configuration_version = self.configuration.version
--- a/hyssopring/entry/hedges.py
+++ b/hyssopring/entry/hedges.py
@@ -64,12 +64,12 @@
     ) -> None:
         if attempt.is_recalled or attempt.phase is not AttemptPhase.SENT:
             return
-        window = self._selector.window(pending.call.service_name)
+        window = self._selector.latency_window(pending.call.service_name)
         age = now - attempt.sent_at
-        if age < window.p95:
+        if age < window.p95_ms:
             return
         if pending.idempotent:
-            self._hedge(pending, age, window.p95)
+            self._hedge(pending, age, window.p95_ms)
         elif attempt.request_id == pending.call.request_id:
             self._recall(pending, attempt, age)
 
--- a/hyssopring/entry/jobs.py
+++ b/hyssopring/entry/jobs.py
@@ -17,7 +17,7 @@
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.membership import Fleet
 from hyssopring.placement import shard_of
-from hyssopring.placement.choice import why_impossible
+from hyssopring.placement.worker_ranking import infeasibility_reason
 from hyssopring.placement.records import chunk_prefix
 from hyssopring.store import (
     Check,
@@ -66,7 +66,7 @@
             return
         agents = self._fleet.agents if self._fleet else ()
         # With no agent connected nobody can tell; the job waits.
-        misfit = agents and why_impossible(policy, policy.size, agents)
+        misfit = agents and infeasibility_reason(policy, policy.size, agents)
         if misfit:
             done(Err(Failure(ErrorKind.IMPOSSIBLE, str(misfit))))
             return
--- a/hyssopring/entry/keyed.py
+++ b/hyssopring/entry/keyed.py
@@ -17,7 +17,7 @@
 from hyssopring.entry.pending import PendingCalls
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.logs import Event, log_event
-from hyssopring.routing import Choice
+from hyssopring.routing import BackendChoice
 
 __all__ = ('KeyedCalls',)
 
@@ -27,13 +27,13 @@
 class Dispatcher(Protocol):
     """Chooses backends and sends calls; ``CallSender``."""
 
-    def choose(self, pending: PendingCall) -> Choice | None:
+    def choose(self, pending: PendingCall) -> BackendChoice | None:
         """Return a backend that the call has not been sent to."""
 
-    def dispatch(self, pending: PendingCall, choice: Choice) -> None:
+    def dispatch(self, pending: PendingCall, choice: BackendChoice) -> None:
         """Send the call."""
 
-    def is_open(self, choice: Choice) -> bool:
+    def is_open(self, choice: BackendChoice) -> bool:
         """Whether the chosen backend may still be sent to."""
 
 
@@ -54,7 +54,7 @@
         self._dispatcher = dispatcher
         calls.on_not_run = self._release
 
-    def claim(self, pending: PendingCall, choice: Choice) -> None:
+    def claim(self, pending: PendingCall, choice: BackendChoice) -> None:
         """Claim the call's key for the chosen agent, then send it."""
         self._claims.insert(
             pending.call.service_name,
@@ -80,7 +80,7 @@
     def _claimed(
         self,
         pending: PendingCall,
-        choice: Choice,
+        choice: BackendChoice,
         answer: Result[Claimed | Taken, Failure],
     ) -> None:
         is_waiting = pending in self._calls
@@ -100,7 +100,7 @@
         # Its deadline passed or its caller left: it is never sent.
         self._claims.release(outcome.row)
 
-    def _send(self, pending: PendingCall, choice: Choice) -> None:
+    def _send(self, pending: PendingCall, choice: BackendChoice) -> None:
         if self._dispatcher.is_open(choice):
             self._dispatcher.dispatch(pending, choice)
             return
@@ -136,7 +136,7 @@
             self._claims.release(row)
 
 
-def _claim_of(pending: PendingCall, choice: Choice) -> Claim:
+def _claim_of(pending: PendingCall, choice: BackendChoice) -> Claim:
     record = choice.backend.agent
     return Claim(
         pending.call.request_id,
--- a/hyssopring/entry/router.py
+++ b/hyssopring/entry/router.py
@@ -40,7 +40,7 @@
 from hyssopring.metrics import Metrics
 from hyssopring.outcomes import CallOutcome
 from hyssopring.protocol.messages import CallRequest, CallResponse, CancelCall
-from hyssopring.routing import Admission, BackendSelector, Choice
+from hyssopring.routing import AdmissionControl, BackendSelector, BackendChoice
 
 __all__ = ('CallRouter',)
 
@@ -73,7 +73,7 @@
         self._configuration = configuration
         self._links = links
         self._metrics = metrics
-        self.admission = Admission(clock, configuration)
+        self.admission = AdmissionControl(clock, configuration)
         self._calls = PendingCalls(clock, callers, metrics, rng)
         self.sender = CallSender(
             clock,
@@ -166,7 +166,7 @@
 
     def on_response(self, record: AgentRecord, response: CallResponse) -> None:
         """Take an agent's answer for a call or an outcome query."""
-        self.selector.heard(record, response, self._clock.now())
+        self.selector.on_response(record, response, self._clock.now())
         request_id = response.request_id
         outcome = CallOutcome.from_wire(response.outcome)
         is_awaited = False
@@ -251,7 +251,7 @@
         )
         return PendingCall(call, request, policy.idempotent, now)
 
-    def _admit(self, pending: PendingCall, choice: Choice) -> None:
+    def _admit(self, pending: PendingCall, choice: BackendChoice) -> None:
         request = pending.request
         too_late = self.admission.deadline_failure(
             choice,
--- a/hyssopring/entry/sending.py
+++ b/hyssopring/entry/sending.py
@@ -10,7 +10,7 @@
 from hyssopring.membership import Fleet
 from hyssopring.metrics import Metrics
 from hyssopring.protocol.messages import CallRequest
-from hyssopring.routing import BackendSelector, Choice, SendBudget
+from hyssopring.routing import BackendSelector, BackendChoice, RetryBudget
 
 __all__ = ('CallSender',)
 
@@ -38,14 +38,14 @@
         self._links = links
         self._metrics = metrics
         self._invariants = Invariants(metrics)
-        self._budget = SendBudget()
+        self._budget = RetryBudget()
         self.selector = selector
 
     def succeeded(self) -> None:
         """An answer has come: earn a share of one retry."""
-        self._budget.succeeded()
+        self._budget.on_success()
 
-    def choose(self, pending: PendingCall) -> Choice | None:
+    def choose(self, pending: PendingCall) -> BackendChoice | None:
         """Return a backend that the call has not been sent to."""
         candidates = [
             view
@@ -55,13 +55,13 @@
         now = self._clock.now()
         return self.selector.choose(candidates, now)
 
-    def is_open(self, choice: Choice) -> bool:
+    def is_open(self, choice: BackendChoice) -> bool:
         """Whether the chosen backend may still be sent to."""
         record = choice.backend.agent
         is_connected = self._fleet.agent(record.agent_id) is record
         return is_connected and choice.backend.is_routable
 
-    def dispatch(self, pending: PendingCall, choice: Choice) -> None:
+    def dispatch(self, pending: PendingCall, choice: BackendChoice) -> None:
         """Send the call; a keyed one only under its own claim."""
         agent_run = choice.backend.agent.incarnation
         if not self._invariants.check(
@@ -79,7 +79,7 @@
             attempt=pending.sent_count,
             why=choice.why,
         )
-        self.selector.sent(
+        self.selector.on_sent(
             choice.backend,
             pending.call.request_id,
             attempt.sent_at,
@@ -93,7 +93,7 @@
         the retry of one that could.
         """
         choice = self._choose_again(pending)
-        if choice is None or not self._budget.take():
+        if choice is None or not self._budget.try_spend():
             return False
         self._retry(pending, choice)
         return True
@@ -115,13 +115,13 @@
         """Send again to the run of the agent that may already have it."""
         self._links.send(attempt.agent_id, self._request(pending))
 
-    def _choose_again(self, pending: PendingCall) -> Choice | None:
+    def _choose_again(self, pending: PendingCall) -> BackendChoice | None:
         left = pending.call.deadline - self._clock.now()
         if pending.sent_count >= _MAX_ATTEMPTS or left < _MIN_RETRY_MS:
             return None
         return self.choose(pending)
 
-    def _retry(self, pending: PendingCall, choice: Choice) -> None:
+    def _retry(self, pending: PendingCall, choice: BackendChoice) -> None:
         log_event(
             Event.REQUEST_RETRIED,
             request=pending.call.request_id,
--- a/hyssopring/jobs/absences.py
+++ b/hyssopring/jobs/absences.py
@@ -5,9 +5,9 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.fleet import Fleet
 from hyssopring.jobs.former_owner import FormerOwner
-from hyssopring.jobs.reign_rows import ReignRows
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
-from hyssopring.jobs.store_time import StoreTime
+from hyssopring.jobs.store_clock import StoreClock
 
 __all__ = ('Absences',)
 
@@ -27,9 +27,9 @@
         self,
         clock: Clock,
         roster: Roster,
-        reign_rows: ReignRows,
+        reign_rows: EpochRows,
         former: FormerOwner,
-        store_time: StoreTime,
+        store_time: StoreClock,
     ) -> None:
         """Know of no agent that is away."""
         self._clock = clock
@@ -38,13 +38,13 @@
         self._former = former
         self._store_time = store_time
 
-    def over_at(self, agent_id: str) -> float:
+    def grant_expires_at(self, agent_id: str) -> float:
         """When nothing that former owners have granted can run any more."""
         until = self._former.until(agent_id)
         told = self._roster.over_at(agent_id)
         return until if told is None else min(until, told)
 
-    def look(self, fleet: Fleet, unheard: Collection[str]) -> None:
+    def check(self, fleet: Fleet, unheard: Collection[str]) -> None:
         """Write what is not written yet; call a few times a second.
 
         Args:
@@ -55,7 +55,7 @@
         if not self._former.may_act:
             self._reign_rows.waited()
         for agent_id in self._roster.agents:
-            if agent_id not in unheard and fleet.runs_nothing(agent_id):
+            if agent_id not in unheard and fleet.is_certainly_idle(agent_id):
                 self._strike(agent_id, now)
         self._suspend(fleet, now)
 
@@ -67,15 +67,18 @@
         """
         told = self._roster.over_at(agent_id)
         if not self._former.may_act or (told is not None and told < now):
-            self._roster.strike(agent_id)
+            self._roster.remove(agent_id)
 
     def _suspend(self, fleet: Fleet, now: float) -> None:
         over_at_by_agent = {}
         for agent_id in self._roster.agents:
-            away_since = fleet.away_since(agent_id)
+            away_since = fleet.unreachable_since(agent_id)
             if away_since is None or now - away_since < _AWAY_MS:
                 continue
-            over_at = max(self.over_at(agent_id), fleet.over_at(agent_id))
+            over_at = max(
+                self.grant_expires_at(agent_id),
+                fleet.grant_expires_at(agent_id),
+            )
             if over_at > now:
                 over_at_by_agent[agent_id] = over_at
-        self._roster.suspend(over_at_by_agent, self._store_time)
+        self._roster.set_expiries(over_at_by_agent, self._store_time)
--- a/hyssopring/jobs/advice_choice.py
+++ b/hyssopring/jobs/advice_choice.py
@@ -11,9 +11,9 @@
 from functools import partial
 from typing import Final, Iterable
 
-from hyssopring.jobs.book import JobRecord, StepRun
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.fleet import Worker
-from hyssopring.jobs.model import Advice, Size, Step
+from hyssopring.jobs.model import AdviceTiming, Size, Step
 from hyssopring.jobs.tickets import StepTickets
 
 __all__ = ('Inquiry', 'Seat', 'whom_to_ask')
@@ -50,7 +50,7 @@
         if report is None or report.service != service:
             return False
         has_label = not step.label or step.label in report.labels
-        return has_label and step.charge.fits_in(self.room)
+        return has_label and step.reserved_size.fits_in(self.room)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
     name: str
     record: JobRecord
     run: StepRun
-    advice: Advice
+    advice: AdviceTiming
     tickets: StepTickets
     is_in_turn: bool
     lasting_until: float
@@ -80,7 +80,10 @@
         step = self.run.step
         worker = seat.worker
         if step.fills and not is_empty:
-            return int(not worker.fillers() and not worker.keepers())
+            return int(
+                not worker.best_effort_tasks()
+                and not worker.latency_critical_tasks()
+            )
         count = _times(step.size, seat.room if is_empty else seat.free)
         if step.fills:
             count = max(1, count)
@@ -93,7 +96,7 @@
         return sum(
             placed.name.job_id == self.record.job.job_id
             and placed.name.occurrence == self.run.occurrence
-            and placed.name.step == self.run.number
+            and placed.name.step == self.run.step_index
             for placed in worker.placed_by_task.values()
         )
 
@@ -178,7 +181,7 @@
     return max(first, len(inquiry.tickets.denied))
 
 
-def _most(advice: Advice) -> int:
+def _most(advice: AdviceTiming) -> int:
     if not advice.per_worker_ms or not advice.valid_ms:
         return _MOST
     longest_ms = _PART_OF_VALID * advice.valid_ms - advice.decision_ms
--- a/hyssopring/jobs/advice_port.py
+++ b/hyssopring/jobs/advice_client.py
@@ -6,11 +6,11 @@
 from twisted.internet.defer import fail
 
 __all__ = (
-    'AdvicePort',
+    'AdviceClient',
     'AdviceUnavailable',
-    'Advised',
-    'NoAdvice',
-    'Question',
+    'AdviceAnswer',
+    'UnconfiguredAdviceClient',
+    'AdviceQuery',
 )
 
 
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class AdviceQuery:
     """Which of these lives of workers may run a step.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Advised:
+class AdviceAnswer:
     """An answer: a ticket for each life of a worker that may run the step.
 
     Attributes:
@@ -45,16 +45,16 @@
     valid_ms: float = 0
 
 
-class AdvicePort(Protocol):
+class AdviceClient(Protocol):
     """Asks the service; an implementation gives up by itself in time."""
 
-    def ask(self, question: Question) -> Any:
-        """Return a deferred ``Advised``; fails with AdviceUnavailable."""
+    def ask(self, question: AdviceQuery) -> Any:
+        """Return a deferred ``AdviceAnswer``; fails with AdviceUnavailable."""
 
 
-class NoAdvice:
+class UnconfiguredAdviceClient:
     """Stands where the settings name no service: steps that need it wait."""
 
-    def ask(self, question: Question) -> Any:
-        """See ``AdvicePort``."""
+    def ask(self, question: AdviceQuery) -> Any:
+        """See ``AdviceClient``."""
         return fail(AdviceUnavailable('the settings name no service'))
--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -10,15 +10,15 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.attempts import Attempt, AttemptTable, Phase
-from hyssopring.jobs.ends import EndTable
+from hyssopring.jobs.end_table import EndTable
 from hyssopring.jobs.fences import FenceCounter
-from hyssopring.jobs.leaving import Leaving
+from hyssopring.jobs.agent_shutdown import AgentShutdown
 from hyssopring.jobs.messages import (
     RUNNING_HERE,
     EndsRecorded,
     Grant,
     JobsMessage,
-    ReportQuestion,
+    ReportRequest,
     StartOrder,
     StartRefusal,
     StopOrder,
@@ -28,10 +28,10 @@
 from hyssopring.jobs.model import Size
 from hyssopring.jobs.orders import WorkerOrders
 from hyssopring.jobs.pacing import Pacer
-from hyssopring.jobs.rights import Rights
+from hyssopring.jobs.agent_leases import AgentLeases
 from hyssopring.jobs.shards import shard_of_task
-from hyssopring.jobs.taken_orders import TakenOrders
-from hyssopring.jobs.watch import WorkerWatch
+from hyssopring.jobs.received_starts import ReceivedStarts
+from hyssopring.jobs.worker_monitor import WorkerMonitor
 from hyssopring.jobs.worker_port import Listing, WorkerPort
 from hyssopring.logs import Event, log_event
 
@@ -62,39 +62,41 @@
         self._reactor = reactor
         self._clock = clock
         self._send = send
-        self.watch = WorkerWatch(reactor, clock, port, FenceCounter(wall_ms))
+        self.monitor = WorkerMonitor(
+            reactor, clock, port, FenceCounter(wall_ms)
+        )
         self.table = AttemptTable()
-        self._rights = Rights()
+        self._rights = AgentLeases()
         self._orders = WorkerOrders(
             reactor,
             clock,
             port,
-            self.watch,
+            self.monitor,
             self.table,
             self._refused,
         )
         self._pacer = Pacer(clock, self._orders.set_pace)
         self._ends = EndTable()
-        self.leaving = Leaving(
-            self.watch,
+        self.shutdown = AgentShutdown(
+            self.monitor,
             self.table,
             lambda: self._ends.by_number.values(),
             send,
         )
         self._sequence = 0
         self._reported_at_by_entry: dict[str, float] = {}
-        self._taken = TakenOrders()
+        self._taken = ReceivedStarts()
         self._is_report_due = False
         # What a silent worker had when it was given up: it may have crashed.
         self._lapsed_attempts: list[Attempt] = []
         self._met_at = clock.now()
-        self.watch.on_boot = self._new_boot
-        self.watch.on_listing = self._listed
-        self.watch.on_lapse = self._lapsed
-        self.watch.on_room = self._report_soon
-        self.watch.hold_limit = self._hold_limit
-        self.watch.has_unrecorded = lambda: self._ends.has_listed
-        self.watch.recorded = self._ends.recorded
+        self.monitor.on_boot = self._new_boot
+        self.monitor.on_listing = self._listed
+        self.monitor.on_lapse = self._lapsed
+        self.monitor.on_room = self._report_soon
+        self.monitor.hold_limit = self._hold_limit
+        self.monitor.has_unrecorded = lambda: self._ends.has_unrecorded
+        self.monitor.recorded = self._ends.durable_up_to
 
     def connected(self, entry_id: str) -> None:
         """An entry is connected: tell it of the worker."""
@@ -112,19 +114,19 @@
         a shard would wait for an agent that never comes back, and keepers with
         it.
         """
-        self.leaving.is_begun = True
-        self.leaving.tell(self._reported_at_by_entry)
+        self.shutdown.is_begun = True
+        self.shutdown.announce(self._reported_at_by_entry)
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Regular work; call a few times a second."""
         now = self._clock.now()
-        self.watch.check()
+        self.monitor.check()
         for entry_id, reported_at in list(self._reported_at_by_entry.items()):
             if self._rights.is_due(now, reported_at):
                 self._report(entry_id)
-        if self._rights.latest > now and not self._awaits_grants(now):
+        if self._rights.latest_expiry > now and not self._awaits_grants(now):
             self._stop_ungranted(now)
-        self.leaving.tell(self._reported_at_by_entry)
+        self.shutdown.announce(self._reported_at_by_entry)
 
     @singledispatchmethod
     def take(self, message: JobsMessage, entry_id: str) -> None:
@@ -137,7 +139,7 @@
 
     @take.register
     def _take_grant(self, message: Grant, entry_id: str) -> None:
-        self._rights.granted(
+        self._rights.renew(
             entry_id,
             message.sequence,
             message.reigns,
@@ -145,15 +147,15 @@
         )
 
     @take.register
-    def _take_question(self, message: ReportQuestion, entry_id: str) -> None:
+    def _take_question(self, message: ReportRequest, entry_id: str) -> None:
         self._taken.begin(entry_id, message.connection)
         for asked in message.reigns:
-            self._rights.learn(asked.shard, asked.reign, entry_id)
+            self._rights.observe_epoch(asked.shard, asked.reign, entry_id)
         self._report(entry_id)
 
     @take.register
     def _take_recorded(self, message: EndsRecorded, entry_id: str) -> None:
-        if message.boot != self.watch.boot:
+        if message.boot != self.monitor.boot:
             return
         self._ends.forget(message.numbers)
 
@@ -166,7 +168,7 @@
     @take.register
     def _take_start(self, message: StartOrder, entry_id: str) -> None:
         facts = message.facts
-        if not self._taken.take(entry_id, message.connection):
+        if not self._taken.record(entry_id, message.connection):
             self._refuse(entry_id, message.shard, facts, 'connection')
             return
         reason = self._objection(message, entry_id)
@@ -189,7 +191,9 @@
 
     @take.register
     def _take_stop(self, message: StopOrder, entry_id: str) -> None:
-        if not self._rights.learn(message.shard, message.reign, entry_id):
+        if not self._rights.observe_epoch(
+            message.shard, message.reign, entry_id
+        ):
             return
         attempt = self.table.by_task.get(message.task)
         if attempt is not None and attempt.number <= message.attempt:
@@ -200,13 +204,13 @@
     def _objection(self, order: StartOrder, entry_id: str) -> str:
         """Why a start is not carried out, empty if it is."""
         facts = order.facts
-        if not self._rights.learn(order.shard, order.reign, entry_id):
+        if not self._rights.observe_epoch(order.shard, order.reign, entry_id):
             return 'deposed'
-        if order.boot != self.watch.boot:
+        if order.boot != self.monitor.boot:
             return 'boot'
-        if self.watch.announced.is_leaving or self.leaving.is_begun:
+        if self.monitor.announced.is_leaving or self.shutdown.is_begun:
             return 'leaving'
-        if self._rights.until(order.shard) <= self._clock.now():
+        if self._rights.expiry_of(order.shard) <= self._clock.now():
             return 'no-grant'
         return self._task_objection(facts)
 
@@ -221,7 +225,7 @@
         size = Size(cpu, facts.memory_mb, facts.accelerators)
         # What is being stopped counts until the worker has listed its end.
         used = self.table.used().plus(size)
-        if not used.fits_in(self.watch.announced.room):
+        if not used.fits_in(self.monitor.announced.room):
             return 'room'
         return ''
 
@@ -245,7 +249,7 @@
             attempt=facts.attempt,
             reason=reason,
         )
-        reign = self._rights.reign_of(shard)
+        reign = self._rights.epoch_of(shard)
         self._send(
             entry_id,
             StartRefusal(facts.task, facts.attempt, reason, reign),
@@ -256,18 +260,18 @@
         self._met_at = now
         self._ends = EndTable(self._ends)
         before = [*self.table.by_task.values(), *self._lapsed_attempts]
-        if self.watch.past is not None:
+        if self.monitor.past is not None:
             lost = [
                 each
                 for each in before
                 if not listing.names(each.task, each.number)
             ]
-            self._ends.take_crash(self.watch.past, lost, now)
+            self._ends.add_crashes(self.monitor.past, lost, now)
         self._lapsed_attempts = []
         self.table.clear()
         # Orders to the incarnation before that this one has carried out.
         self.table.carry_over(before, listing, now)
-        self.watch.recorded = self._ends.recorded
+        self.monitor.recorded = self._ends.durable_up_to
         self._report_soon()
 
     def _lapsed(self) -> None:
@@ -286,13 +290,13 @@
         """
         if self._awaits_grants(self._clock.now()):
             return 0
-        return self._rights.latest
+        return self._rights.latest_expiry
 
     def _awaits_grants(self, now: float) -> bool:
         if now - self._met_at > _GRANTS_WAIT_MS:
             return False
         return any(
-            self._rights.until(attempt.shard) <= now
+            self._rights.expiry_of(attempt.shard) <= now
             for attempt in self.table.by_task.values()
         )
 
@@ -303,7 +307,7 @@
         count them as ended. Without any grant the hold lapses by itself.
         """
         for attempt in list(self.table.by_task.values()):
-            if self._rights.until(attempt.shard) <= now:
+            if self._rights.expiry_of(attempt.shard) <= now:
                 self._orders.stop(attempt)
 
     def _listed(self, listing: Listing, sent_at: float) -> None:
@@ -314,18 +318,18 @@
             if self._ends.add(end):
                 has_news = True
                 self.table.ended(end.task, end.attempt)
-        self._ends.pass_over(listing.last_void)
+        self._ends.skip(listing.last_unidentified_end)
         listed = set()
         for row in listing.rows:
             listed.add(row.task)
             if row.task not in self.table.by_task:
                 has_news = True
             self.table.listed(row, now)
-        if listing.is_whole:
+        if listing.is_complete:
             # Else a row that was not read may be any attempt's: taken for
             # over it would start a second time while it runs.
             has_news |= self.table.drop_unlisted(listed, sent_at)
-        self._pacer.turn(self.table.by_task.values())
+        self._pacer.tick(self.table.by_task.values())
         if has_news:
             self._report_soon()
 
@@ -338,22 +342,22 @@
     def _report_owners(self) -> None:
         self._is_report_due = False
         for entry_id in list(self._reported_at_by_entry):
-            if self._rights.reigns(entry_id):
+            if self._rights.epochs_of(entry_id):
                 self._report(entry_id)
 
     def _report(self, entry_id: str) -> None:
         now = self._clock.now()
         self._sequence += 1
         self._reported_at_by_entry[entry_id] = now
-        self._rights.sent(self._sequence, now)
-        reigns = self._rights.reigns(entry_id)
+        self._rights.note_report_sent(self._sequence, now)
+        reigns = self._rights.epochs_of(entry_id)
         own = {known.shard for known in reigns}
         attempts = self.table.by_task.values()
         foreign = Size()
         for attempt in attempts:
             if attempt.shard not in own:
                 foreign = foreign.plus(attempt.charge())
-        watch = self.watch
+        watch = self.monitor
         self._send(
             entry_id,
             WorkerReport(
--- a/hyssopring/jobs/rights.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from typing import Iterable
 
-from hyssopring.jobs.messages import ShardReign
+from hyssopring.jobs.messages import ShardEpoch
 from hyssopring.jobs.times import GRANT_MS, REPORT_MS
 
-__all__ = ('Rights',)
+__all__ = ('AgentLeases',)
 
 _MAX_UNANSWERED = 64
 
@@ -20,7 +20,7 @@
     until: float
 
 
-class Rights:
+class AgentLeases:
     """The owners of the shards as one agent knows them."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self._right_by_shard: dict[int, _Right] = {}
         self._sent_at_by_sequence: dict[int, float] = {}
 
-    def learn(self, shard: int, reign: int, entry_id: str) -> bool:
+    def observe_epoch(self, shard: int, reign: int, entry_id: str) -> bool:
         """Take an order's reign; False if a newer one is known."""
         known = self._right_by_shard.get(shard)
         if known is None or known.reign < reign:
@@ -37,17 +37,17 @@
             return True
         return known.reign == reign and known.entry_id == entry_id
 
-    def sent(self, sequence: int, now: float) -> None:
+    def note_report_sent(self, sequence: int, now: float) -> None:
         """Note when a report was sent: a grant counts from then."""
         self._sent_at_by_sequence[sequence] = now
         if len(self._sent_at_by_sequence) > _MAX_UNANSWERED:
             self._sent_at_by_sequence.pop(next(iter(self._sent_at_by_sequence)))
 
-    def granted(
+    def renew(
         self,
         entry_id: str,
         sequence: int,
-        reigns: Iterable[ShardReign],
+        reigns: Iterable[ShardEpoch],
         ttl_ms: float,
     ) -> None:
         """Take a grant; one of an older reign grants nothing."""
@@ -56,17 +56,17 @@
             return
         until = sent_at + min(ttl_ms, GRANT_MS)
         for granted in reigns:
-            if self.learn(granted.shard, granted.reign, entry_id):
+            if self.observe_epoch(granted.shard, granted.reign, entry_id):
                 known = self._right_by_shard[granted.shard]
                 known.until = max(known.until, until)
 
-    def until(self, shard: int) -> float:
+    def expiry_of(self, shard: int) -> float:
         """Until when the tasks of a shard may run without another grant."""
         known = self._right_by_shard.get(shard)
         return known.until if known else 0
 
     @property
-    def latest(self) -> float:
+    def latest_expiry(self) -> float:
         """Until when any task may run."""
         return max(
             (known.until for known in self._right_by_shard.values()),
@@ -78,15 +78,15 @@
         known = self._right_by_shard.get(shard)
         return known.entry_id if known else ''
 
-    def reigns(self, entry_id: str) -> list[ShardReign]:
+    def epochs_of(self, entry_id: str) -> list[ShardEpoch]:
         """The shards that an entry owns, as far as is known here."""
         return [
-            ShardReign(shard, known.reign)
+            ShardEpoch(shard, known.reign)
             for shard, known in self._right_by_shard.items()
             if known.entry_id == entry_id
         ]
 
-    def reign_of(self, shard: int) -> int:
+    def epoch_of(self, shard: int) -> int:
         """Return the newest reign known, 0 for none."""
         known = self._right_by_shard.get(shard)
         return known.reign if known else 0
--- a/hyssopring/jobs/leaving.py
+++ b/hyssopring/jobs/agent_shutdown.py
@@ -4,12 +4,12 @@
 
 from hyssopring.jobs.attempts import AttemptTable
 from hyssopring.jobs.messages import AgentLeft, EndReport, JobsMessage
-from hyssopring.jobs.watch import WorkerWatch
+from hyssopring.jobs.worker_monitor import WorkerMonitor
 
-__all__ = ('Leaving',)
+__all__ = ('AgentShutdown',)
 
 
-class Leaving:
+class AgentShutdown:
     """The end of one agent's process.
 
     Attributes:
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        watch: WorkerWatch,
+        watch: WorkerMonitor,
         table: AttemptTable,
         ends: Callable[[], Iterable[EndReport]],
         send: Callable[[str, JobsMessage], None],
@@ -32,7 +32,7 @@
         self.is_begun = False
 
     @property
-    def may_end(self) -> bool:
+    def can_exit(self) -> bool:
         """Whether the process may end.
 
         Nobody else can tell when the hold of a worker that answers no more is
@@ -40,7 +40,7 @@
         """
         return self._has_left or self._watch.is_answering
 
-    def tell(self, entries: Iterable[str]) -> None:
+    def announce(self, entries: Iterable[str]) -> None:
         """Tell entries, once, when surely nothing runs here any more."""
         if not self.is_begun or self._has_left:
             return
--- a/hyssopring/jobs/announced.py
+++ b/hyssopring/jobs/announced_state.py
@@ -2,7 +2,7 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.model import Size
-from hyssopring.jobs.times import ROOM_MS
+from hyssopring.jobs.times import CAPACITY_TTL_MS
 from hyssopring.jobs.worker_port import Announcement
 from hyssopring.logs import Event, log_event
 
@@ -38,7 +38,7 @@
     ) -> 'AnnouncedState':
         """Begin with the report by which a boot was found."""
         state = cls(clock)
-        state.take(announced)
+        state.update(announced)
         state._announced_at = announced_at
         return state
 
@@ -46,7 +46,7 @@
     def room(self) -> Size:
         """What the worker has, as it has announced a short while ago."""
         age_ms = self._clock.now() - self._announced_at
-        return self._room if age_ms <= ROOM_MS else Size()
+        return self._room if age_ms <= CAPACITY_TTL_MS else Size()
 
     @property
     def is_leaving(self) -> bool:
@@ -58,7 +58,7 @@
         """How long a leaving worker still runs at least."""
         return max(0, int(self._leaves_at - self._clock.now()))
 
-    def take(self, announced: Announcement) -> bool:
+    def update(self, announced: Announcement) -> bool:
         """Take a report; True if the room is another one than before."""
         if announced.sequence < self._sequence:
             return False
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -75,7 +75,7 @@
         cpu = 0 if facts.fills else facts.cpu_millis
         return Size(cpu, facts.memory_mb, facts.accelerators)
 
-    def take(self, row: WorkerRow, now: float) -> None:
+    def update(self, row: WorkerRow, now: float) -> None:
         """Take over what the worker listed."""
         self.checkpoint = row.checkpoint
         self.percent = row.percent
@@ -134,7 +134,7 @@
             )
             self.add(known)
         if known.number == row.attempt:
-            known.take(row, now)
+            known.update(row, now)
         return known
 
     def carry_over(
--- a/hyssopring/jobs/configuration_messages.py
+++ b/hyssopring/jobs/configuration_messages.py
@@ -8,7 +8,7 @@
     'WHOLE',
     'ConfigurationNotice',
     'ConfigurationPart',
-    'ConfigurationQuestion',
+    'ConfigurationRequest',
     'ConfigurationText',
 )
 
@@ -24,7 +24,7 @@
 
 
 @struct
-class ConfigurationQuestion:
+class ConfigurationRequest:
     """Asks for the configuration, if the receiver has this version.
 
     Attributes:
--- a/hyssopring/jobs/suspects.py
+++ b/hyssopring/jobs/crash_suspects.py
@@ -11,16 +11,16 @@
 from typing import Collection, Final, Iterable
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.book import JobRecord
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.crash_history import Crash, CrashCause
-from hyssopring.jobs.fleet import Fleet, Placed, Worker
+from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.messages import EndReport
 from hyssopring.jobs.model import AttemptEnd, TaskName
 from hyssopring.jobs.owned_shards import OwnedShards
-from hyssopring.jobs.worker_deaths import WorkerDeaths
+from hyssopring.jobs.worker_crashes import WorkerCrashes
 from hyssopring.logs import Event, log_event
 
-__all__ = ('TRIAL_MS', 'Suspects')
+__all__ = ('TRIAL_MS', 'CrashSuspects')
 
 # An attempt that has run for this long has not crashed its worker by starting.
 TRIAL_MS: Final = MILLIS_PER_SECOND
@@ -57,11 +57,11 @@
         return self.record.job.job_id, self.record.budget_key(self.name)
 
 
-class Suspects:
+class CrashSuspects:
     """Keeps the trials under way, and judges crashes.
 
     Attributes:
-        deaths: The deaths of all workers, to tell a common cause.
+        worker_crashes: Those of all workers, to tell a common cause.
     """
 
     def __init__(self, clock: Clock, fleet: Fleet) -> None:
@@ -69,7 +69,7 @@
         self._clock = clock
         self._fleet = fleet
         self._trial_by_agent: dict[str, _Trial] = {}
-        self.deaths = WorkerDeaths(clock, fleet)
+        self.worker_crashes = WorkerCrashes(clock, fleet)
 
     @property
     def agents(self) -> Collection[str]:
@@ -80,7 +80,7 @@
         """Return the workers that any task may be started on now."""
         return [
             worker
-            for worker in shards.startable_on(self._fleet.takers())
+            for worker in shards.startable_on(self._fleet.schedulable_workers())
             if worker.agent_id not in self._trial_by_agent
         ]
 
@@ -124,7 +124,7 @@
         under_way = sum(
             self._is_answering(agent_id) for agent_id in self._trial_by_agent
         )
-        takers = len(self._fleet.takers())
+        takers = len(self._fleet.schedulable_workers())
         most = max(1, takers // _WORKERS_PER_TRIAL)
         return under_way < most + (len(crashes) > 1)
 
@@ -140,7 +140,7 @@
         trial = _Trial(record, name, attempt, agent_id)
         self._trial_by_agent[agent_id] = trial
 
-    def outlived(self, record: JobRecord, name: TaskName) -> None:
+    def record_survival(self, record: JobRecord, name: TaskName) -> None:
         """Clear a task an attempt of which has outlived its start.
 
         Crashes that an innocent task was caught in would make it wait for a
@@ -152,16 +152,16 @@
             record.crashes.clear(suspect)
             record.trial_wanted_since.pop(suspect, None)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """End the trials that are decided; call before each planning round."""
         for trials in self._by_suspect().values():
             placed = [self._placed(trial) for trial in trials]
-            if all(each and each.seen_ms >= TRIAL_MS for each in placed):
+            if all(each and each.observed_ms >= TRIAL_MS for each in placed):
                 self._passed(trials)
             elif not all(placed):
                 self._release(trials)
 
-    def crashed(
+    def record_crash(
         self,
         record: JobRecord,
         name: TaskName,
@@ -196,8 +196,8 @@
     def _cause(self, end: EndReport, worker: Worker) -> CrashCause:
         is_trial = end.how == AttemptEnd.CRASHED_IN_TRIAL.value
         if is_trial:
-            self.deaths.explain(worker.agent_id)
-        if self.deaths.is_common(worker.agent_id, self.agents):
+            self.worker_crashes.explain(worker.agent_id)
+        if self.worker_crashes.is_common(worker.agent_id, self.agents):
             return CrashCause.COMMON
         if is_trial:
             return CrashCause.ISOLATED
@@ -209,7 +209,7 @@
         )
         if len(by_agent) >= _ENOUGH_WORKERS:
             is_enough = len(crashes) >= _ENOUGH_CRASHES
-            return is_enough or not self.deaths.are_frequent
+            return is_enough or not self.worker_crashes.are_frequent
         if len(crashes) >= _MOST_CRASHES and by_agent:
             return True
         return by_agent.total() >= _ENOUGH_ISOLATED
@@ -221,7 +221,7 @@
             by_suspect.setdefault(trial.suspect, []).append(trial)
         return by_suspect
 
-    def _placed(self, trial: _Trial) -> Placed | None:
+    def _placed(self, trial: _Trial) -> PlacedAttempt | None:
         worker = self._fleet.by_agent.get(trial.agent_id)
         if worker is None:
             return None
--- a/hyssopring/jobs/discovery.py
+++ b/hyssopring/jobs/discovery.py
@@ -8,8 +8,8 @@
 from hyssopring.clock import Clock
 from hyssopring.jobs.documents import EntryRow
 from hyssopring.jobs.links import LinkDialler
-from hyssopring.jobs.odd_rows import OddRows
-from hyssopring.jobs.row_keys import ENTRIES
+from hyssopring.jobs.row_parser import RowParser
+from hyssopring.jobs.row_keys import ENTRIES_TABLE
 from hyssopring.jobs.rows import (
     Page,
     RowStore,
@@ -45,22 +45,24 @@
         self._dialler = dialler
         self._rng = rng
         self._next_at = clock.now() + _ALONE_MS
-        self._odd = OddRows()
+        self._odd = RowParser()
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Look at the connections; call a few times a second."""
         now = self._clock.now()
         if self._dialler.connected:
             self._next_at = now + _ALONE_MS
         elif now >= self._next_at:
             self._next_at = now + self._rng.uniform(1, 2) * _AGAIN_MS
-            reading = self._store.read(ENTRIES, '')
+            reading = self._store.read(ENTRIES_TABLE, '')
             reading.addCallback(self._found)
             reading.addErrback(_later)
 
     def _found(self, page: Page) -> None:
-        rows = [self._odd.read(EntryRow.from_text, row) for row in page.rows]
-        self._dialler.learn(row.address for row in rows if row is not None)
+        rows = [self._odd.parse(EntryRow.from_text, row) for row in page.rows]
+        self._dialler.add_addresses(
+            row.address for row in rows if row is not None
+        )
 
 
 def _later(failure: TwistedFailure) -> Any:
--- a/hyssopring/jobs/documents.py
+++ b/hyssopring/jobs/documents.py
@@ -8,7 +8,7 @@
 hs_done    shard          job id          the shard's owner
 hs_owner   shard          'owner'         whoever becomes the owner
 hs_owner   shard          'wait'          who takes it from a silent owner;
-                                          see ``WaitRow``
+                                          see ``FormerOwnersRow``
 hs_owner   shard          'roster'        whoever becomes the owner; see
                                           ``RosterRow``
 hs_entry   (empty)        entry id        the entry, each second
@@ -30,13 +30,13 @@
 __all__ = (
     'AgentRow',
     'EntryRow',
-    'FormerReign',
+    'FormerOwnerProcess',
     'JobRow',
     'OwnerRow',
     'ProgressRow',
     'RosterRow',
-    'UnreadableRow',
-    'WaitRow',
+    'MalformedRowError',
+    'FormerOwnersRow',
 )
 
 _Document = TypeVar('_Document')
@@ -45,7 +45,7 @@
 _MAX_REIGN: Final = 10**12
 
 
-class UnreadableRow(Exception):
+class MalformedRowError(Exception):
     """A row of ours that does not hold what it should."""
 
 
@@ -58,10 +58,10 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'JobRow':
-        """Read a row; raises UnreadableRow."""
+        """Read a row; raises MalformedRowError."""
         row = _read(_JOB_ROW, 'job', text)
-        if not math.isfinite(row.accepted_ms) or not row.job.is_sound:
-            raise UnreadableRow('job: its steps or its time cannot be')
+        if not math.isfinite(row.accepted_ms) or not row.job.is_valid:
+            raise MalformedRowError('job: its steps or its time cannot be')
         return row
 
     def to_text(self) -> str:
@@ -88,12 +88,12 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'ProgressRow':
-        """Read a row; raises UnreadableRow."""
+        """Read a row; raises MalformedRowError."""
         row = _read(_PROGRESS_ROW, 'progress', text)
         if row.state not in _ENDS or not math.isfinite(row.ended_ms):
-            raise UnreadableRow('progress: no such state or time')
+            raise MalformedRowError('progress: no such state or time')
         if min(row.done.values(), default=0) < 0:
-            raise UnreadableRow('progress: no set of tasks')
+            raise MalformedRowError('progress: no set of tasks')
         return row
 
     def to_text(self) -> str:
@@ -118,10 +118,10 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'OwnerRow':
-        """Read a row; raises UnreadableRow."""
+        """Read a row; raises MalformedRowError."""
         row = _read(_OWNER_ROW, 'owner', text)
         if not 0 <= row.reign < _MAX_REIGN:
-            raise UnreadableRow('owner: no such reign')
+            raise MalformedRowError('owner: no such reign')
         return row
 
     @classmethod
@@ -135,7 +135,7 @@
         """
         try:
             return cls.from_text(row.text)
-        except UnreadableRow:
+        except MalformedRowError:
             return cls('?', f'?{row.version}', row.version)
 
     def to_text(self) -> str:
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True)
-class FormerReign:
+class FormerOwnerProcess:
     """A process that owned a shard, and may still act as its owner.
 
     Attributes:
@@ -158,13 +158,13 @@
 
 
 @dataclass(frozen=True)
-class WaitRow:
+class FormerOwnersRow:
     """Owners before the one in the owner row that may still act."""
 
-    reigns: tuple[FormerReign, ...]
+    reigns: tuple[FormerOwnerProcess, ...]
 
     @classmethod
-    def from_row(cls, row: Row) -> 'WaitRow':
+    def from_row(cls, row: Row) -> 'FormerOwnersRow':
         """Read a row; one that cannot be read names an owner nobody knows.
 
         Rows of the release before have no text. That owner is never found
@@ -172,8 +172,10 @@
         """
         try:
             return _read(_WAIT_ROW, 'wait', row.text)
-        except UnreadableRow:
-            return cls((FormerReign('?', f'?{row.version}', row.version),))
+        except MalformedRowError:
+            return cls(
+                (FormerOwnerProcess('?', f'?{row.version}', row.version),)
+            )
 
     def to_text(self) -> str:
         """Return the row's text."""
@@ -202,7 +204,7 @@
         """Read a row; one that cannot be read vouches for no reign."""
         try:
             return _read(_ROSTER_ROW, 'roster', row.text if row else '')
-        except UnreadableRow:
+        except MalformedRowError:
             return cls(0, 0)
 
     def next(self, former_reign: int) -> 'RosterRow':
@@ -237,11 +239,11 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'AgentRow':
-        """Read a row, also an empty one; raises UnreadableRow."""
+        """Read a row, also an empty one; raises MalformedRowError."""
         row = _read(_AGENT_ROW, 'agent', text) if text else cls()
         is_time = row.over_ms is None or math.isfinite(row.over_ms)
         if not is_time or not 0 <= row.reign < _MAX_REIGN:
-            raise UnreadableRow('agent: no such time or reign')
+            raise MalformedRowError('agent: no such time or reign')
         return row
 
     @property
@@ -273,10 +275,10 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'EntryRow':
-        """Read a row; raises UnreadableRow."""
+        """Read a row; raises MalformedRowError."""
         row = _read(_ENTRY_ROW, 'entry', text)
         if not 0 <= row.cores < math.inf:
-            raise UnreadableRow('entry: no such processor time')
+            raise MalformedRowError('entry: no such processor time')
         return row
 
     def to_text(self) -> str:
@@ -288,7 +290,7 @@
     try:
         return adapter.validate_json(text)
     except ValidationError as error:
-        raise UnreadableRow(f'{kind}: {error.errors()[0]}') from error
+        raise MalformedRowError(f'{kind}: {error.errors()[0]}') from error
 
 
 _ENDS = frozenset(
@@ -297,7 +299,7 @@
 _JOB_ROW = TypeAdapter(JobRow)
 _PROGRESS_ROW = TypeAdapter(ProgressRow)
 _OWNER_ROW = TypeAdapter(OwnerRow)
-_WAIT_ROW = TypeAdapter(WaitRow)
+_WAIT_ROW = TypeAdapter(FormerOwnersRow)
 _ROSTER_ROW = TypeAdapter(RosterRow)
 _AGENT_ROW = TypeAdapter(AgentRow)
 _ENTRY_ROW = TypeAdapter(EntryRow)
--- a/hyssopring/jobs/ends.py
+++ b/hyssopring/jobs/end_table.py
@@ -5,7 +5,7 @@
 from hyssopring.jobs.attempts import Attempt
 from hyssopring.jobs.messages import EndReport
 from hyssopring.jobs.model import AttemptEnd
-from hyssopring.jobs.worker_lives import PastLife
+from hyssopring.jobs.past_incarnation import PastIncarnation
 from hyssopring.jobs.worker_port import EndRow
 from hyssopring.logs import Event, log_event
 
@@ -30,7 +30,7 @@
         }
 
     @property
-    def has_listed(self) -> bool:
+    def has_unrecorded(self) -> bool:
         """Whether the worker lists ends that are not durable yet."""
         return len(self.by_number) > len(self.crashes)
 
@@ -55,9 +55,9 @@
         )
         return True
 
-    def take_crash(
+    def add_crashes(
         self,
-        past: PastLife,
+        past: PastIncarnation,
         attempts: Collection[Attempt],
         now: float,
     ) -> None:
@@ -80,7 +80,7 @@
             silent_ms=int(now - past.heard_at),
         )
 
-    def pass_over(self, number: int) -> None:
+    def skip(self, number: int) -> None:
         """No task is meant by the end of this number."""
         self._highest = max(self._highest, number)
 
@@ -102,7 +102,7 @@
             attempt.checkpoint,
         )
 
-    def recorded(self) -> int:
+    def durable_up_to(self) -> int:
         """Return the number up to which all ends are durable."""
         listed = self.by_number.keys() - self.crashes.keys()
         return min(listed, default=self._highest + 1) - 1
--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -5,30 +5,30 @@
 from typing import Any, Callable, Final
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.advice_port import AdvicePort
+from hyssopring.jobs.advice_client import AdviceClient
 from hyssopring.jobs.configuration_messages import (
     ConfigurationNotice,
     ConfigurationPart,
-    ConfigurationQuestion,
+    ConfigurationRequest,
     ConfigurationText,
 )
-from hyssopring.jobs.desk import JobDesk
+from hyssopring.jobs.job_api import JobApi
 from hyssopring.jobs.documents import JobRow
-from hyssopring.jobs.entries import EntryMembership
+from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.former_owner import ShardReign
-from hyssopring.jobs.handover import GivenUpShards, given_up
+from hyssopring.jobs.former_owner import AcquiredShard
+from hyssopring.jobs.handover import ReleasedShards, given_up
 from hyssopring.jobs.messages import (
     AgentLeft,
     CancelNotice,
     Grant,
-    JobAnswer,
+    JobStateResponse,
     JobNotice,
-    JobQuestion,
+    JobStateRequest,
     JobsMessage,
-    PendingAnswer,
-    PendingQuestion,
-    ShardGivenUp,
+    PendingJobsResponse,
+    PendingJobsRequest,
+    ShardReleased,
     StartRefusal,
     WorkerReport,
 )
@@ -37,10 +37,10 @@
     ShardEvents,
 )
 from hyssopring.jobs.owner import JobOwner
-from hyssopring.jobs.questions import Questions
+from hyssopring.jobs.peer_requests import PeerRequests
 from hyssopring.jobs.relay import RelayedStore, RelayPeers
 from hyssopring.jobs.relay_messages import (
-    RelayedAnswer,
+    RelayedResponse,
     RelayedChanges,
     RelayedCommit,
     RelayedRead,
@@ -66,7 +66,7 @@
         store: RelayedStore,
         membership: EntryMembership,
         peers: RelayPeers,
-        advice: AdvicePort,
+        advice: AdviceClient,
     ) -> None:
         """Build the owner and connect the membership's callbacks."""
         self._reactor = reactor
@@ -75,7 +75,7 @@
         self._store = store
         self._membership = membership
         self._peers = peers
-        self._given_up = GivenUpShards()
+        self._given_up = ReleasedShards()
         self.fleet = Fleet(clock, membership.incarnation)
         self.owner = JobOwner(
             reactor,
@@ -87,9 +87,9 @@
             self._deposed,
             advice,
         )
-        self._questions = Questions(reactor, peers)
+        self._questions = PeerRequests(reactor, peers)
         self.configuration = SharedConfiguration(reactor, peers)
-        self.desk = JobDesk(
+        self.job_api = JobApi(
             reactor,
             clock,
             wall_ms,
@@ -114,7 +114,7 @@
         log_event(Event.AGENT_CONNECTED, agent=agent_id)
         self.owner.agent_connected(worker)
 
-    def agent_gone(self, agent_id: str) -> None:
+    def agent_disconnected(self, agent_id: str) -> None:
         """An agent's connection is gone."""
         if agent_id in self.fleet.by_agent:
             log_event(Event.AGENT_DISCONNECTED, agent=agent_id)
@@ -159,11 +159,11 @@
             self._peers.to_entry(owner, passed_on)
 
     @take.register
-    def _take_given_up(self, message: ShardGivenUp, peer_id: str) -> None:
+    def _take_given_up(self, message: ShardReleased, peer_id: str) -> None:
         self._given_up.take(message, self._clock.now())
         owned = self.owner.shards.by_shard.get(message.shard)
         if owned is not None:
-            self._given_up.tell(owned, self.fleet)
+            self._given_up.announce(owned, self.fleet)
             self.owner.hear_departed()
 
     @take.register
@@ -171,18 +171,18 @@
         self.owner.shards.cancel(message.job_id)
 
     @take.register
-    def _take_question(self, message: JobQuestion, peer_id: str) -> None:
+    def _take_question(self, message: JobStateRequest, peer_id: str) -> None:
         state = self.owner.shards.state_of(message.job_id)
         self._peers.answer(
             peer_id,
-            JobAnswer(message.number, state.value if state else ''),
+            JobStateResponse(message.number, state.value if state else ''),
         )
 
     @take.register
-    def _take_pending(self, message: PendingQuestion, peer_id: str) -> None:
+    def _take_pending(self, message: PendingJobsRequest, peer_id: str) -> None:
         self._peers.answer(
             peer_id,
-            PendingAnswer(
+            PendingJobsResponse(
                 message.number,
                 self.owner.shards.counted(),
                 self.owner.shards.waiting(message.queue),
@@ -190,11 +190,11 @@
         )
 
     @take.register
-    def _take_state(self, message: JobAnswer, peer_id: str) -> None:
+    def _take_state(self, message: JobStateResponse, peer_id: str) -> None:
         self._questions.answered(message.number, message)
 
     @take.register
-    def _take_count(self, message: PendingAnswer, peer_id: str) -> None:
+    def _take_count(self, message: PendingJobsResponse, peer_id: str) -> None:
         self._questions.answered(message.number, message)
 
     @take.register(RelayedCommit)
@@ -204,21 +204,21 @@
         self._store.serve(message, peer_id)
 
     @take.register(ConfigurationNotice)
-    @take.register(ConfigurationQuestion)
+    @take.register(ConfigurationRequest)
     @take.register(ConfigurationText)
     @take.register(ConfigurationPart)
     def _take_configuration(self, message: JobsMessage, peer_id: str) -> None:
         self.configuration.take(message, peer_id)
 
     @take.register
-    def _take_outcome(self, message: RelayedAnswer, peer_id: str) -> None:
+    def _take_outcome(self, message: RelayedResponse, peer_id: str) -> None:
         self._store.answered(message)
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Call a few times a second."""
         for owned in self.owner.shards.by_shard.values():
-            owned.former.look(self._membership.is_dead)
-        self.owner.turn()
+            owned.former.check(self._membership.is_dead)
+        self.owner.tick()
 
     def poll(self) -> None:
         """Look for jobs that nobody has told of; call each second or so."""
@@ -234,10 +234,10 @@
     def _release_shards(self) -> None:
         for owned in list(self.owner.shards.by_shard.values()):
             self._drop(owned)
-            self._membership.release(owned.shard, owned.version, owned.reign)
+            self._membership.release(owned.shard, owned.version, owned.epoch)
         self._membership.renew()
 
-    def _acquired(self, acquired: ShardReign) -> None:
+    def _acquired(self, acquired: AcquiredShard) -> None:
         owned = OwnedShard(
             acquired,
             self._reactor,
@@ -250,10 +250,10 @@
                 self.owner.accepted,
                 self.owner.cancelled,
                 self.owner.loaded,
-                self.owner.plan_soon,
+                self.owner.schedule_planning,
             ),
         )
-        self._given_up.tell(owned, self.fleet)
+        self._given_up.announce(owned, self.fleet)
         self.owner.acquire(owned)
 
     def _deposed(self, owned: OwnedShard) -> None:
--- a/hyssopring/jobs/entries.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -15,15 +15,15 @@
 from hyssopring.clock import Clock
 from hyssopring.jobs.documents import (
     EntryRow,
-    FormerReign,
+    FormerOwnerProcess,
     OwnerRow,
-    UnreadableRow,
+    MalformedRowError,
 )
-from hyssopring.jobs.former_owner import ShardReign
+from hyssopring.jobs.former_owner import AcquiredShard
 from hyssopring.jobs.peer_entries import PeerEntries
 from hyssopring.jobs.row_keys import (
-    ENTRIES,
-    OWNERS,
+    ENTRIES_TABLE,
+    OWNERS_TABLE,
     owner_key,
     part_of,
     roster_key,
@@ -41,9 +41,9 @@
     StoreUncertain,
     Transaction,
 )
-from hyssopring.jobs.shards import SHARDS
+from hyssopring.jobs.shards import SHARD_COUNT
 from hyssopring.jobs.takeover import Takeover
-from hyssopring.jobs.times import AUTHORITY_MS, ENTRY_SILENT_MS, RENEW_MS
+from hyssopring.jobs.times import OWNER_LEASE_MS, ENTRY_SILENT_MS, RENEW_MS
 
 __all__ = ('EntryMembership',)
 
@@ -70,7 +70,7 @@
         address: str,
         cores: float = 0,
     ) -> None:
-        """Set the callbacks before ``turn`` is first called."""
+        """Set the callbacks before ``tick`` is first called."""
         self._cores = cores
         self._reactor = reactor
         self._clock = clock
@@ -80,7 +80,7 @@
         self._address = address
         self._renewed_at: float | None = None
         self._peers = PeerEntries(clock, entry_id)
-        self.is_dead: Callable[[FormerReign], bool] = self._peers.is_dead
+        self.is_dead: Callable[[FormerOwnerProcess], bool] = self._peers.is_dead
         # The version of this entry's row, 0 while there is none.
         self._version = 0
         self._is_renewing = False
@@ -94,7 +94,7 @@
         self._over_since: dict[int, float] = {}
         self._is_stopping = False
         self.owned: Callable[[], tuple[int, ...]] = tuple
-        self.on_acquired: Callable[[ShardReign], None] = _ignore
+        self.on_acquired: Callable[[AcquiredShard], None] = _ignore
         self.on_entries: Callable[[], None] = _nothing
         self.on_yield: Callable[[], None] = _nothing
         self._yields_at = clock.now()
@@ -109,10 +109,10 @@
         """Whether the last renewal is young enough to act as an owner."""
         if self._renewed_at is None:
             return False
-        return self._clock.now() - self._renewed_at < AUTHORITY_MS
+        return self._clock.now() - self._renewed_at < OWNER_LEASE_MS
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the store has answered this entry of late."""
         if self._renewed_at is None:
             return False
@@ -127,10 +127,10 @@
         """Return the id of the entry that said last that it owns a shard."""
         return self._peers.owner_of(shard)
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Renew and look at the others; call each ``RENEW_MS``."""
         self.renew()
-        reading = self._store.read(ENTRIES, '')
+        reading = self._store.read(ENTRIES_TABLE, '')
         reading.addCallbacks(self._entries_read, self._failed)
         reading.addErrback(self._failed)
 
@@ -169,7 +169,7 @@
         )
         # A renewal that is carried out late must not follow one of the next
         # process of this entry: that one would be taken for replaced.
-        place = RowKey(ENTRIES, '', self._entry_id)
+        place = RowKey(ENTRIES_TABLE, '', self._entry_id)
         renewing = self._store.commit(
             Transaction(
                 (RowCheck(place, self._version),),
@@ -197,7 +197,7 @@
         if is_first:
             # Shards are contended for only now. Left to the next turn, all
             # work would wait a second longer after a restart of all entries.
-            self.turn()
+            self.tick()
         if self._is_stale:
             self.renew()
 
@@ -207,7 +207,7 @@
 
     def _failed(self, failure: TwistedFailure) -> None:
         """The store's client logs when the store is lost and regained."""
-        failure.trap(StoreRefused, StoreUncertain, UnreadableRow)
+        failure.trap(StoreRefused, StoreUncertain, MalformedRowError)
 
     def _entries_read(self, page: Page) -> None:
         now = self._clock.now()
@@ -221,7 +221,9 @@
     def _forget(self, row: Row) -> None:
         """Remove the row of an entry that is long gone."""
         removing = self._store.commit(
-            Transaction((RowCheck(row.place, row.version),), (), (row.place,)),
+            Transaction(
+                (RowCheck(row.row_key, row.version),), (), (row.row_key,)
+            ),
         )
         removing.addErrback(self._failed)
 
@@ -231,7 +233,7 @@
             # Until this process has written its row, others can't tell it
             # from a former one: what it took would be taken from it.
             return
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             if shard in self.owned() or self._peers.owner_of(shard):
                 self._free_since.pop(shard, None)
             elif shard not in self._taking:
@@ -300,7 +302,7 @@
         if former is not None and self._is_owner_live(former, version):
             return None
         reading = self._store.read(
-            OWNERS, part_of(shard), roster_key(shard).key
+            OWNERS_TABLE, part_of(shard), roster_key(shard).key
         )
         return reading.addCallback(self._rows_read, shard, row)
 
@@ -315,7 +317,7 @@
         owner = OwnerRow(self._entry_id, self._incarnation, takeover.reign)
         sent_at = self._clock.now()
         taking = self._store.commit(takeover.transaction(owner, in_doubt))
-        taken = ShardReign(
+        taken = AcquiredShard(
             shard,
             takeover.reign,
             version=0,
@@ -328,7 +330,7 @@
         )
         return taking.addCallback(self._taken, taken)
 
-    def _taken(self, outcome: object, taken: ShardReign) -> None:
+    def _taken(self, outcome: object, taken: AcquiredShard) -> None:
         if not isinstance(outcome, Committed) or self._is_stopping:
             return
         self._free_since.pop(taken.shard, None)
@@ -346,5 +348,5 @@
     """No owner is set yet."""
 
 
-def _ignore(_taken: ShardReign) -> None:
+def _ignore(_taken: AcquiredShard) -> None:
     """No owner is set yet."""
--- a/hyssopring/jobs/reign_rows.py
+++ b/hyssopring/jobs/epoch_rows.py
@@ -6,7 +6,7 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.jobs.documents import RosterRow
-from hyssopring.jobs.row_keys import roster_key, wait_key
+from hyssopring.jobs.row_keys import roster_key, former_owners_key
 from hyssopring.jobs.rows import (
     Committed,
     Conflict,
@@ -18,10 +18,10 @@
     Transaction,
 )
 
-__all__ = ('ReignRows',)
+__all__ = ('EpochRows',)
 
 
-class ReignRows:
+class EpochRows:
     """Written with the owner's row at a takeover, and changed later.
 
     Attributes:
@@ -83,7 +83,7 @@
         if not self.owes_wait or self._is_clearing:
             return
         self._is_clearing = True
-        place = wait_key(self._shard)
+        place = former_owners_key(self._shard)
         clearing = self._store.commit(Transaction((self._check,), (), (place,)))
         clearing.addCallbacks(self._cleared, _retried)
         clearing.addBoth(self._clearing_settled)
--- a/hyssopring/jobs/fleet.py
+++ b/hyssopring/jobs/fleet.py
@@ -6,10 +6,10 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.messages import AgentLeft
-from hyssopring.jobs.times import GRANT_MS, LOST_AFTER_MS
-from hyssopring.jobs.workers import Placed, Worker
+from hyssopring.jobs.times import GRANT_MS, GRANT_EXPIRY_MS
+from hyssopring.jobs.workers import PlacedAttempt, Worker
 
-__all__ = ('GRANT_TTL_MS', 'Departed', 'Fleet', 'Placed', 'Worker')
+__all__ = ('GRANT_TTL_MS', 'Departed', 'Fleet', 'PlacedAttempt', 'Worker')
 
 # A worker that has refused a start is the last choice for this long.
 _REFUSING_MS: Final = 5000.0
@@ -52,9 +52,9 @@
             self.by_agent[agent_id] = worker
         worker.is_connected = True
         worker.connection = f'{self._incarnation}/{next(self._connections)}'
-        worker.orders = 0
+        worker.starts_sent = 0
         for placed in worker.placed_by_task.values():
-            placed.order = 0
+            placed.start_index = 0
         return worker
 
     def disconnected(self, agent_id: str) -> None:
@@ -63,7 +63,7 @@
         worker.is_connected = False
         worker.disconnected_at = self._clock.now()
 
-    def left(self, worker: Worker, message: AgentLeft) -> 'Departed':
+    def remove_departed(self, worker: Worker, message: AgentLeft) -> 'Departed':
         """An agent says that it ends, and that nothing runs there."""
         departed = Departed(worker, message, self._clock.now())
         self.departed[worker.agent_id] = departed
@@ -71,7 +71,7 @@
             self.departed.pop(next(iter(self.departed)))
         return departed
 
-    def away_since(self, agent_id: str) -> float | None:
+    def unreachable_since(self, agent_id: str) -> float | None:
         """Since when an agent is away or its worker silent, None if neither.
 
         One that this process has never met may have been away for longer.
@@ -83,10 +83,10 @@
             return worker.disconnected_at
         return worker.silent_since
 
-    def over_at(self, agent_id: str) -> float:
+    def grant_expires_at(self, agent_id: str) -> float:
         """When all that this entry has granted an agent is over."""
         worker = self.by_agent.get(agent_id)
-        return worker.granted_at + LOST_AFTER_MS if worker else 0
+        return worker.granted_at + GRANT_EXPIRY_MS if worker else 0
 
     def is_lost(self, agent_id: str) -> bool:
         """Whether an agent is away and nothing ordered there can run."""
@@ -97,7 +97,7 @@
             return True
         return not worker.is_connected and worker.is_lost(self._clock.now())
 
-    def runs_nothing(self, agent_id: str) -> bool:
+    def is_certainly_idle(self, agent_id: str) -> bool:
         """Whether no next owner need wait for an agent.
 
         It is away for long enough, or here without a worker. Left on the
@@ -145,7 +145,7 @@
             if worker.refused_at is not None and worker.refused_at > since
         }
 
-    def takers(self) -> list[Worker]:
+    def schedulable_workers(self) -> list[Worker]:
         """Return the workers that new tasks may be sent to now.
 
         What is ordered at an agent whose grant is over counts as ended at
@@ -155,7 +155,7 @@
         return [
             each
             for each in self.by_agent.values()
-            if each.takes_tasks() and not each.is_lost(now)
+            if each.accepts_tasks() and not each.is_lost(now)
         ]
 
 
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -4,15 +4,15 @@
 from typing import Callable
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.documents import FormerReign, RosterRow
-from hyssopring.jobs.messages import ShardGivenUp
-from hyssopring.jobs.times import LOST_AFTER_MS, ROSTER_WAIT_MS
+from hyssopring.jobs.documents import FormerOwnerProcess, RosterRow
+from hyssopring.jobs.messages import ShardReleased
+from hyssopring.jobs.times import GRANT_EXPIRY_MS, ROSTER_WAIT_MS
 
-__all__ = ('FormerOwner', 'ShardReign')
+__all__ = ('FormerOwner', 'AcquiredShard')
 
 
 @dataclass(frozen=True, slots=True)
-class ShardReign:
+class AcquiredShard:
     """A shard that was taken.
 
     Attributes:
@@ -29,9 +29,9 @@
     reign: int
     version: int
     acquired_at: float
-    in_doubt: tuple[FormerReign, ...]
+    in_doubt: tuple[FormerOwnerProcess, ...]
     confirmed_at: float
-    former: FormerReign | None = None
+    former: FormerOwnerProcess | None = None
     over_since: float | None = None
     roster: RosterRow = RosterRow(0, 0)
 
@@ -44,13 +44,13 @@
 class FormerOwner:
     """For how long what former owners have ordered and granted may act."""
 
-    def __init__(self, clock: Clock, taken: ShardReign) -> None:
+    def __init__(self, clock: Clock, taken: AcquiredShard) -> None:
         """Begin with what was known when the shard was taken."""
         self._clock = clock
         self._in_doubt = taken.in_doubt
         self._former = taken.former
         self._has_earlier = any(each != taken.former for each in taken.in_doubt)
-        wait_ms = LOST_AFTER_MS if self.is_over else ROSTER_WAIT_MS
+        wait_ms = GRANT_EXPIRY_MS if self.is_over else ROSTER_WAIT_MS
         self._wait_until = taken.acquired_at + wait_ms
         self._acts_until = taken.acquired_at
         if not self.is_over:
@@ -79,7 +79,7 @@
         """
         return self._clock.now() < self._acts_until
 
-    def gave_up(self, told: ShardGivenUp, received_at: float) -> None:
+    def gave_up(self, told: ShardReleased, received_at: float) -> None:
         """The former owner orders nothing more: its grants run out by age.
 
         Of agents that it had not heard it knew for how long to wait. One
@@ -91,10 +91,10 @@
         if self.is_over:
             self._acts_until = received_at
         for grant in told.grants:
-            lost_at = received_at - grant.age_ms + LOST_AFTER_MS
+            lost_at = received_at - grant.age_ms + GRANT_EXPIRY_MS
             self._lost_at_by_agent[grant.agent_id] = lost_at
 
-    def look(self, is_dead: Callable[[FormerReign], bool]) -> None:
+    def check(self, is_dead: Callable[[FormerOwnerProcess], bool]) -> None:
         """Find out which former owners are dead; call regularly.
 
         Two owners in a row that are killed tell nobody. Unless the next one
@@ -107,12 +107,12 @@
         self._leave_in_doubt(lambda each: not is_dead(each), now)
         if self.is_over:
             # Their last grants came before their deaths were seen.
-            self._wait_until = min(self._wait_until, now + LOST_AFTER_MS)
+            self._wait_until = min(self._wait_until, now + GRANT_EXPIRY_MS)
             self._acts_until = self._wait_until
 
     def _leave_in_doubt(
         self,
-        may_act: Callable[[FormerReign], bool],
+        may_act: Callable[[FormerOwnerProcess], bool],
         at: float,
     ) -> None:
         """Keep those in doubt that may act; the others were over by then."""
--- a/hyssopring/jobs/handover.py
+++ b/hyssopring/jobs/handover.py
@@ -1,14 +1,14 @@
 """What a former owner tells the next one of a shard."""
 
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.messages import AgentGrant, ShardGivenUp
+from hyssopring.jobs.messages import AgentGrant, ShardReleased
 from hyssopring.jobs.owned_shard import OwnedShard
-from hyssopring.jobs.times import LOST_AFTER_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS
 
-__all__ = ('GivenUpShards', 'given_up')
+__all__ = ('ReleasedShards', 'given_up')
 
 
-def given_up(owned: OwnedShard, fleet: Fleet, now: float) -> ShardGivenUp:
+def given_up(owned: OwnedShard, fleet: Fleet, now: float) -> ShardReleased:
     """Describe a shard that this entry has just dropped.
 
     Agents that had confirmed this reign are named with its own last grant. Of
@@ -16,24 +16,26 @@
     that may run tasks still is named with the later of both.
     """
     lost_at_by_agent = {
-        agent_id: fleet.over_at(agent_id)
+        agent_id: fleet.grant_expires_at(agent_id)
         for agent_id in fleet.by_agent
-        if agent_id in owned.heard
+        if agent_id in owned.reported
     }
-    known = owned.unheard | owned.former.named_agents | fleet.by_agent.keys()
-    for agent_id in known - owned.heard:
-        lost_at = max(owned.former.until(agent_id), fleet.over_at(agent_id))
+    known = owned.unreported | owned.former.named_agents | fleet.by_agent.keys()
+    for agent_id in known - owned.reported:
+        lost_at = max(
+            owned.former.until(agent_id), fleet.grant_expires_at(agent_id)
+        )
         if lost_at > now:
             lost_at_by_agent[agent_id] = lost_at
     grants = [
-        AgentGrant(agent_id, int(now + LOST_AFTER_MS - lost_at))
+        AgentGrant(agent_id, int(now + GRANT_EXPIRY_MS - lost_at))
         for agent_id, lost_at in lost_at_by_agent.items()
     ]
     wait_ms = int(owned.former.wait_ms)
-    return ShardGivenUp(owned.shard, owned.reign, grants, wait_ms)
+    return ShardReleased(owned.shard, owned.epoch, grants, wait_ms)
 
 
-class GivenUpShards:
+class ReleasedShards:
     """The newest such message for each shard, until its next owner is here.
 
     It may come before this entry has taken the shard, or after it.
@@ -41,20 +43,20 @@
 
     def __init__(self) -> None:
         """Know of none."""
-        self._by_shard: dict[int, tuple[ShardGivenUp, float]] = {}
+        self._by_shard: dict[int, tuple[ShardReleased, float]] = {}
 
-    def take(self, message: ShardGivenUp, now: float) -> None:
+    def take(self, message: ShardReleased, now: float) -> None:
         """Keep a message of a former owner, received now."""
         self._by_shard[message.shard] = (message, now)
 
-    def tell(self, owned: OwnedShard, fleet: Fleet) -> None:
+    def announce(self, owned: OwnedShard, fleet: Fleet) -> None:
         """Use what the former owner of an owned shard has said.
 
         It may have granted an agent later than this entry: one that has been
         restarted, and reached the former owner only.
         """
         message, received_at = self._by_shard.get(owned.shard, (None, 0))
-        if message is None or message.reign != owned.reign - 1:
+        if message is None or message.reign != owned.epoch - 1:
             return
         owned.former.gave_up(message, received_at)
         for grant in message.grants:
--- a/hyssopring/jobs/harms.py
+++ b/hyssopring/jobs/interference.py
@@ -18,7 +18,12 @@
 
 from hyssopring.jobs.fleet import Worker
 
-__all__ = ('MOST_HEADROOM', 'Harm', 'Harms', 'KeeperFigure')
+__all__ = (
+    'MAX_HEADROOM',
+    'InterferenceEstimate',
+    'InterferenceModel',
+    'KeeperFigure',
+)
 
 # Headroom that a core of an unknown image takes, and its deviation squared. Of
 # 36 pairs that were measured ten took 0.2 to 0.5, two 0.16, the others less
@@ -29,7 +34,7 @@
 # changed.
 _NOISE_VARIANCE: Final = 0.13
 # Headrooms above this are alike: the keeper is at rest.
-MOST_HEADROOM: Final = 6.0
+MAX_HEADROOM: Final = 6.0
 # Below this the tail no longer follows what is beside the keeper.
 _LEAST_HEADROOM: Final = 0.4
 # Changes of use, in cores, and pauses, in ms, that say something.
@@ -43,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
+class InterferenceEstimate:
     """The headroom that a core of a filler takes of a keeper.
 
     Attributes:
@@ -55,12 +60,12 @@
     deviation: float
 
     @property
-    def risk(self) -> float:
+    def upper_bound(self) -> float:
         """What has to be reckoned with: the mean and one deviation."""
         return self.mean + self.deviation
 
 
-_UNKNOWN: Final = Harm(_PRIOR, _PRIOR_VARIANCE**0.5)
+_UNKNOWN_PAIR: Final = InterferenceEstimate(_PRIOR, _PRIOR_VARIANCE**0.5)
 
 
 @dataclass(slots=True)
@@ -117,7 +122,7 @@
     @property
     def headroom(self) -> float:
         """The target as a part of the tail; a tail of 0 is none yet."""
-        return min(MOST_HEADROOM, self.target_ms / max(self.tail_ms, 1))
+        return min(MAX_HEADROOM, self.target_ms / max(self.tail_ms, 1))
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +134,7 @@
     use: Counter[str]
 
 
-class Harms:
+class InterferenceModel:
     """Learns which fillers disturb which keepers."""
 
     def __init__(self) -> None:
@@ -137,14 +142,14 @@
         self._filter_by_image: dict[str, _Filter] = {}
         self._seen_by_task: dict[str, _Seen] = {}
 
-    def look(self, workers: Iterable[Worker], now: float) -> None:
+    def observe_workers(self, workers: Iterable[Worker], now: float) -> None:
         """Learn from what the workers' reports say of their tasks."""
         seen: dict[str, _Seen] = {}
         for worker in workers:
             use: Counter[str] = Counter()
-            for filler in worker.fillers():
+            for filler in worker.best_effort_tasks():
                 use[filler.step.image] += filler.load
-            for placed in worker.keepers():
+            for placed in worker.latency_critical_tasks():
                 keeper = KeeperFigure(
                     str(placed.name),
                     placed.step.image,
@@ -154,7 +159,7 @@
                 seen[keeper.task] = self._look_at(keeper, use, now)
         self._seen_by_task = seen
 
-    def look_beside(
+    def observe_worker(
         self,
         keepers: Iterable[KeeperFigure],
         use: Counter[str],
@@ -165,13 +170,13 @@
             keeper.task: self._look_at(keeper, use, now) for keeper in keepers
         }
 
-    def per_core(self, keeper: str, filler: str) -> Harm:
+    def per_core(self, keeper: str, filler: str) -> InterferenceEstimate:
         """Return what a core of a filler's image takes of a keeper's."""
         known = self._filter_by_image.get(keeper)
         if known is None or filler not in known.means:
-            return _UNKNOWN
+            return _UNKNOWN_PAIR
         variance = max(known.variances[filler, filler], _LEAST_VARIANCE)
-        return Harm(max(known.means[filler], 0), variance**0.5)
+        return InterferenceEstimate(max(known.means[filler], 0), variance**0.5)
 
     def _look_at(
         self,
--- a/hyssopring/jobs/desk.py
+++ b/hyssopring/jobs/job_api.py
@@ -9,18 +9,18 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.jobs.deadlines import answer_by
-from hyssopring.jobs.documents import JobRow, ProgressRow, UnreadableRow
-from hyssopring.jobs.entries import EntryMembership
+from hyssopring.jobs.documents import JobRow, ProgressRow, MalformedRowError
+from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.messages import (
     CancelNotice,
     JobNotice,
-    JobQuestion,
+    JobStateRequest,
     JobsMessage,
-    PendingQuestion,
+    PendingJobsRequest,
 )
 from hyssopring.jobs.model import Job, JobState
 from hyssopring.jobs.owned_shards import OwnedShards
-from hyssopring.jobs.questions import Peers, Questions
+from hyssopring.jobs.peer_requests import PeerTransport, PeerRequests
 from hyssopring.jobs.row_keys import cancel_key, job_key, progress_key
 from hyssopring.jobs.rows import (
     Committed,
@@ -32,10 +32,10 @@
     StoreUncertain,
     Transaction,
 )
-from hyssopring.jobs.shards import SHARDS, shard_of
+from hyssopring.jobs.shards import SHARD_COUNT, shard_of
 from hyssopring.logs import Event, log_event
 
-__all__ = ('JobDesk',)
+__all__ = ('JobApi',)
 
 _PENDING_AGE_MS: Final = 1000.0
 _RETRY_MS: Final = 100.0
@@ -49,7 +49,7 @@
     at: float
 
 
-class JobDesk:
+class JobApi:
     """Accepts jobs and cancellations, and says how jobs stand."""
 
     def __init__(
@@ -60,8 +60,8 @@
         store: RowStore,
         membership: EntryMembership,
         shards: OwnedShards,
-        peers: Peers,
-        questions: Questions,
+        peers: PeerTransport,
+        questions: PeerRequests,
     ) -> None:
         """Store jobs in ``store`` and tell their owners by ``peers``."""
         self._reactor = reactor
@@ -161,10 +161,10 @@
         if known is not None and now - known.at < _PENDING_AGE_MS:
             return Ok(known.waiting)
         waiting = self._shards.waiting(queue)
-        missing = set(range(SHARDS)) - set(self._shards.counted())
+        missing = set(range(SHARD_COUNT)) - set(self._shards.counted())
 
         def question(number: int) -> JobsMessage:  # noqa: WPS430 -- for each
-            return PendingQuestion(number, queue)
+            return PendingJobsRequest(number, queue)
 
         owners = {self._membership.owner_of(shard) for shard in missing}
         for entry_id in owners:
@@ -217,7 +217,7 @@
         entry_id = self._membership.owner_of(shard_of(job_id))
         answer = yield self._questions.ask(
             entry_id,
-            lambda number: JobQuestion(number, job_id),
+            lambda number: JobStateRequest(number, job_id),
         )
         if answer is None or not answer.state:
             return None
@@ -247,7 +247,7 @@
             return Ok(None)
         try:
             known = ProgressRow.from_text(progress.text) if progress else None
-        except UnreadableRow as error:
+        except MalformedRowError as error:
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, str(error)))
         if known is not None and known.state:
             return Ok(JobState(known.state))
--- a/hyssopring/jobs/measures.py
+++ b/hyssopring/jobs/job_metrics.py
@@ -10,7 +10,7 @@
 from hyssopring.logs import Event
 from hyssopring.metrics import Metrics
 
-__all__ = ('JobMeasures',)
+__all__ = ('JobMetrics',)
 
 Fields = Mapping[str, object]
 
@@ -44,14 +44,14 @@
 )
 
 
-class JobMeasures:
+class JobMetrics:
     """Takes all events of one process."""
 
     def __init__(self, metrics: Metrics) -> None:
         """Count into ``metrics``."""
         self._metrics = metrics
 
-    def take(self, event: Event, fields: Fields) -> None:
+    def record_event(self, event: Event, fields: Fields) -> None:
         """Count one event; a listener of ``listen_to_events``."""
         counted = _COUNTED.get(event)
         if counted is None:
--- a/hyssopring/jobs/book.py
+++ b/hyssopring/jobs/job_record.py
@@ -26,7 +26,7 @@
     """
 
     occurrence: int
-    number: int
+    step_index: int
     step: Step
     done: int = 0
     waiting: set[int] = field(default_factory=set)
@@ -36,7 +36,7 @@
     @property
     def name(self) -> str:
         """The step's name within its job."""
-        return f'{self.occurrence}.{self.number}'
+        return f'{self.occurrence}.{self.step_index}'
 
     @property
     def is_gang_ready(self) -> bool:
@@ -54,9 +54,9 @@
 
     def task(self, job_id: str, index: int) -> TaskName:
         """Name one task of the step."""
-        return TaskName(job_id, self.occurrence, self.number, index)
+        return TaskName(job_id, self.occurrence, self.step_index, index)
 
-    def placed(self, index: int) -> None:
+    def mark_running(self, index: int) -> None:
         """An attempt of the task may run from now on."""
         self.waiting.discard(index)
         self.running.add(index)
@@ -93,7 +93,7 @@
 
     job: Job
     accepted_ms: float
-    reign: int
+    epoch: int
     is_inherited: bool
     progress: ProgressRow = field(default_factory=ProgressRow)
     version: int = 0
@@ -227,16 +227,16 @@
             for run in self.step_runs.values()
         )
 
-    def next_number(self, task: str) -> int:
+    def next_attempt(self, task: str) -> int:
         """Number a new attempt above all earlier ones of the task."""
-        base = self.reign * _ATTEMPTS_PER_REIGN if self.is_inherited else 0
+        base = self.epoch * _ATTEMPTS_PER_REIGN if self.is_inherited else 0
         number = self.number_by_task.get(task, base) + 1
         self.number_by_task[task] = number
         return number
 
-    def next_gang_number(self, names: list[TaskName]) -> int:
+    def next_gang_attempt(self, names: list[TaskName]) -> int:
         """Number an attempt of a whole gang: its members share it."""
-        number = max(self.next_number(str(name)) for name in names)
+        number = max(self.next_attempt(str(name)) for name in names)
         for name in names:
             self.number_by_task[str(name)] = number
         return number
@@ -301,7 +301,9 @@
     def deadline(self, occurrence: int = 0) -> float:
         """When an occurrence should be completed, in ms since 1970."""
         queue = self.job.queue
-        allowed = queue.slack_factor * self.job.chain_ms + queue.target_ms
+        allowed = (
+            queue.slack_factor * self.job.critical_path_ms + queue.target_ms
+        )
         due_ms = self.job.schedule.due_ms(occurrence)
         return max(self.accepted_ms, due_ms) + allowed
 
--- a/hyssopring/jobs/waits.py
+++ b/hyssopring/jobs/keeper_waits.py
@@ -6,18 +6,18 @@
 from typing import Callable, Final, Iterator, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.advice import AdviceDesk
-from hyssopring.jobs.book import JobRecord, StepRun
-from hyssopring.jobs.fleet import Fleet, Placed, Worker
-from hyssopring.jobs.harms import Harms
+from hyssopring.jobs.ticket_manager import TicketManager
+from hyssopring.jobs.job_record import JobRecord, StepRun
+from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.interference import InterferenceModel
 from hyssopring.jobs.model import Step, TaskName
-from hyssopring.jobs.options import Option
+from hyssopring.jobs.placement_option import PlacementOption
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.shards import shard_of
-from hyssopring.jobs.suspects import Suspects
+from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.logs import Event, log_event
 
-__all__ = ('LastingTaskWatch', 'WaitReason')
+__all__ = ('KeeperWaitMonitor', 'WaitReason')
 
 _LOOK_MS: Final = MILLIS_PER_SECOND
 # A lasting task that runs nowhere for this long is worth a line: the ordinary
@@ -96,7 +96,7 @@
     """An attempt of a lasting task, and the worker that it was sent to."""
 
     worker: Worker
-    placed: Placed
+    placed: PlacedAttempt
 
     @property
     def is_running(self) -> bool:
@@ -114,7 +114,7 @@
     order: _Order | None
 
 
-class LastingTaskWatch:
+class KeeperWaitMonitor:
     """Looks each second at the lasting tasks of all owned shards.
 
     Attributes:
@@ -127,8 +127,8 @@
         fleet: Fleet,
         shards: OwnedShards,
         may_act: Callable[[], bool],
-        advice: AdviceDesk,
-        suspects: Suspects,
+        advice: TicketManager,
+        suspects: CrashSuspects,
     ) -> None:
         """Begin with no task that waits."""
         self._clock = clock
@@ -141,7 +141,7 @@
         self._wait_by_task: dict[str, _Wait] = {}
         self.waiting = 0
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at all lasting tasks, if it is time to; call regularly."""
         now = self._clock.now()
         if now - self._looked_at < _LOOK_MS:
@@ -219,7 +219,7 @@
         record, name = absent.record, absent.name
         owned = self._shards.by_shard[shard_of(name.job_id)]
         if name.index not in owned.startable(record, absent.run):
-            agents = tuple(sorted(owned.holders(name)))
+            agents = tuple(sorted(owned.possible_agents(name)))
             left = map(owned.wait_ms, agents)
             return _Obstacle(WaitReason.UNHEARD, agents, max(left, default=0))
         if owned.roster.is_failing:
@@ -236,9 +236,9 @@
         """Return why no worker is chosen."""
         service = absent.record.job.queue.service
         tickets = self._advice.permitted(absent.record, absent.run)
-        harms = Harms()
+        harms = InterferenceModel()
         options = [
-            Option.from_worker(worker, harms)
+            PlacementOption.from_worker(worker, harms)
             for worker in self._suspects.spared(self._shards)
             if worker.service == service
             and (tickets is None or worker.boot in tickets)
@@ -259,7 +259,7 @@
 
 
 def _objection(
-    options: list[Option],
+    options: list[PlacementOption],
     step: Step,
     name: TaskName,
 ) -> WaitReason:
--- a/hyssopring/jobs/links.py
+++ b/hyssopring/jobs/links.py
@@ -19,11 +19,11 @@
     pack,
     unpack,
 )
-from hyssopring.jobs.stalls import StallWatch
+from hyssopring.jobs.stall_detector import StallDetector
 from hyssopring.logs import Event, log_event
 from hyssopring.protocol.frames import Codec, FramedConnection, Traffic
 
-__all__ = ('TURN_S', 'LinkDialler', 'LinkListener')
+__all__ = ('LINK_TICK_INTERVAL_S', 'LinkDialler', 'LinkListener')
 
 _CODEC: Final = Codec(pack, unpack)
 _CONNECT_TIMEOUT_S: Final = 1
@@ -90,7 +90,7 @@
         self._on_greeting = on_greeting
         self._on_close = on_close
         self.traffic = Traffic()
-        self._stalls = StallWatch(clock)
+        self._stalls = StallDetector(clock)
         self._open: set[_Peer] = set()
         self._by_id: dict[str, _Peer] = {}
 
@@ -116,9 +116,9 @@
         peer.connection.send(message)
         return True
 
-    def check_silence(self) -> None:
+    def close_silent_connections(self) -> None:
         """Drop connections on which nothing came; call regularly."""
-        if not self._stalls.has_kept_up():
+        if not self._stalls.record_tick():
             return
         limit = self._clock.now() - _SILENCE_MS
         for peer in list(self._open):
@@ -175,7 +175,7 @@
             self.owner.traffic,
         )
 
-    def turn(self, now: float, may_judge: bool) -> None:
+    def tick(self, now: float, may_judge: bool) -> None:
         if self.connection is not None:
             self._check(self.connection, now, may_judge)
         elif not self.is_dialling and now >= self.next_at:
@@ -263,7 +263,7 @@
         self._on_open = on_open
         self._on_close = on_close
         self.traffic = Traffic()
-        self._stalls = StallWatch(clock)
+        self._stalls = StallDetector(clock)
         self._by_address: dict[str, _Dialled] = {}
         self._odd: set[str] = set()
         self._by_entry: dict[str, _Dialled] = {}
@@ -273,7 +273,7 @@
         """Ids of the connected entries."""
         return list(self._by_entry)
 
-    def learn(self, addresses: Iterable[str]) -> None:
+    def add_addresses(self, addresses: Iterable[str]) -> None:
         """Dial these addresses too from now on."""
         for address in addresses:
             if address in self._by_address or address in self._odd:
@@ -285,19 +285,19 @@
                 detail = 'no address to dial'
                 log_event(Event.PEER_ERROR, entry=address, detail=detail)
 
-    def keep(self, addresses: Iterable[str]) -> None:
+    def set_addresses(self, addresses: Iterable[str]) -> None:
         """Dial these addresses and drop all others."""
         wanted = set(addresses)
-        self.learn(wanted)
+        self.add_addresses(wanted)
         for address in self._by_address.keys() - wanted:
             self._by_address.pop(address).close()
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Dial what is due and drop what is silent; call regularly."""
         now = self.clock.now()
-        may_judge = self._stalls.has_kept_up()
+        may_judge = self._stalls.record_tick()
         for dialled in list(self._by_address.values()):
-            dialled.turn(now, may_judge)
+            dialled.tick(now, may_judge)
 
     def send(self, entry_id: str, message: JobsMessage) -> bool:
         """Write a message; False if the entry is not connected."""
@@ -327,4 +327,4 @@
             self._on_close(entry_id)
 
 
-TURN_S: Final = 100 / MILLIS_PER_SECOND
+LINK_TICK_INTERVAL_S: Final = 100 / MILLIS_PER_SECOND
--- a/hyssopring/jobs/locations.py
+++ b/hyssopring/jobs/locations.py
@@ -4,11 +4,11 @@
 from typing import Callable, Final, Iterable, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.book import JobRecord
-from hyssopring.jobs.fleet import Fleet, Placed, Worker
+from hyssopring.jobs.job_record import JobRecord
+from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.former_owner import FormerOwner
 from hyssopring.jobs.model import TaskName
-from hyssopring.jobs.reign_rows import ReignRows
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
 
 __all__ = ('Locations',)
@@ -30,7 +30,7 @@
         self,
         clock: Clock,
         roster: Roster,
-        reign_rows: ReignRows,
+        reign_rows: EpochRows,
         former: FormerOwner,
         by_job: Mapping[str, JobRecord],
     ) -> None:
@@ -60,7 +60,7 @@
             for task in self._roster.tasks(agent_id):
                 self._agents_by_task[task].add(agent_id)
 
-    def holders(self, task: str, unheard: set[str]) -> set[str]:
+    def possible_agents(self, task: str, unheard: set[str]) -> set[str]:
         """Return the unheard agents that may run a lasting task."""
         if not self._reign_rows.is_complete:
             return unheard
@@ -74,7 +74,9 @@
             if self._roster.is_located(worker.agent_id, [task])
         }
 
-    def look(self, fleet: Fleet, is_heard: IsHeard, has_unheard: bool) -> None:
+    def update(
+        self, fleet: Fleet, is_heard: IsHeard, has_unheard: bool
+    ) -> None:
         """Bring the rows up to date, if it is time to; call regularly.
 
         Args:
@@ -132,7 +134,7 @@
             if self._is_ours(placed)
         }
 
-    def _is_ours(self, placed: Placed) -> bool:
+    def _is_ours(self, placed: PlacedAttempt) -> bool:
         return placed.step.is_keeper and placed.name.job_id in self._by_job
 
     def _is_live(self, task: str) -> bool:
--- a/hyssopring/jobs/messages.py
+++ b/hyssopring/jobs/messages.py
@@ -10,11 +10,11 @@
 from hyssopring.jobs.configuration_messages import (
     ConfigurationNotice,
     ConfigurationPart,
-    ConfigurationQuestion,
+    ConfigurationRequest,
     ConfigurationText,
 )
 from hyssopring.jobs.relay_messages import (
-    RelayedAnswer,
+    RelayedResponse,
     RelayedChanges,
     RelayedCommit,
     RelayedRead,
@@ -39,15 +39,15 @@
     'EntryAddresses',
     'EntryGreeting',
     'Grant',
-    'JobAnswer',
+    'JobStateResponse',
     'JobNotice',
-    'JobQuestion',
+    'JobStateRequest',
     'JobsMessage',
-    'PendingAnswer',
-    'PendingQuestion',
-    'ReportQuestion',
-    'ShardGivenUp',
-    'ShardReign',
+    'PendingJobsResponse',
+    'PendingJobsRequest',
+    'ReportRequest',
+    'ShardReleased',
+    'ShardEpoch',
     'StartOrder',
     'StartRefusal',
     'StopOrder',
@@ -59,7 +59,7 @@
 
 
 @struct
-class ShardReign:
+class ShardEpoch:
     """One shard and the reign that is meant or known."""
 
     shard: int
@@ -146,7 +146,7 @@
     is_leaving: bool
     remaining_ms: int
     silent_ms: int
-    reigns: list[ShardReign]
+    reigns: list[ShardEpoch]
     attempts: list[AttemptReport]
     ends: list[EndReport]
     foreign_cpu: int
@@ -164,12 +164,12 @@
     """
 
     sequence: int
-    reigns: list[ShardReign]
+    reigns: list[ShardEpoch]
     ttl_ms: int
 
 
 @struct
-class ReportQuestion:
+class ReportRequest:
     """Asks an agent for a report at once, under these reigns.
 
     Attributes:
@@ -177,7 +177,7 @@
             starts that name another one are void from now on.
     """
 
-    reigns: list[ShardReign]
+    reigns: list[ShardEpoch]
     connection: str = ''
 
 
@@ -275,7 +275,7 @@
 
 
 @struct
-class JobQuestion:
+class JobStateRequest:
     """Asks the owner of a job's shard for the job's state."""
 
     number: int
@@ -283,7 +283,7 @@
 
 
 @struct
-class JobAnswer:
+class JobStateResponse:
     """The state, or empty if the entry cannot say."""
 
     number: int
@@ -291,7 +291,7 @@
 
 
 @struct
-class PendingQuestion:
+class PendingJobsRequest:
     """Asks how many jobs of a queue wait for their first start."""
 
     number: int
@@ -299,7 +299,7 @@
 
 
 @struct
-class PendingAnswer:
+class PendingJobsResponse:
     """Counts the waiting jobs of the shards that the entry owns."""
 
     number: int
@@ -323,7 +323,7 @@
 
 
 @struct
-class ShardGivenUp:
+class ShardReleased:
     """The sender owned a shard under a reign, and orders nothing there now.
 
     Attributes:
@@ -354,27 +354,27 @@
     | AgentGreeting
     | WorkerReport
     | Grant
-    | ReportQuestion
+    | ReportRequest
     | StartOrder
     | StartRefusal
     | StopOrder
     | EndsRecorded
     | JobNotice
     | CancelNotice
-    | JobQuestion
-    | JobAnswer
-    | PendingQuestion
-    | PendingAnswer
+    | JobStateRequest
+    | JobStateResponse
+    | PendingJobsRequest
+    | PendingJobsResponse
     | TaskFacts
     | EntryAddresses
     | RelayedCommit
     | RelayedRead
     | RelayedChanges
-    | RelayedAnswer
+    | RelayedResponse
     | AgentLeft
-    | ShardGivenUp
+    | ShardReleased
     | ConfigurationNotice
-    | ConfigurationQuestion
+    | ConfigurationRequest
     | ConfigurationText
     | ConfigurationPart
 )
--- a/hyssopring/jobs/model.py
+++ b/hyssopring/jobs/model.py
@@ -6,7 +6,7 @@
 from typing import Final, Iterator
 
 __all__ = (
-    'Advice',
+    'AdviceTiming',
     'AttemptEnd',
     'Job',
     'JobState',
@@ -131,7 +131,7 @@
     max_unavailable: int = 0
 
     @property
-    def charge(self) -> Size:
+    def reserved_size(self) -> Size:
         """What a task takes of its worker's room: a filler no processor."""
         if self.fills:
             return Size(0, self.size.memory_mb, self.size.accelerators)
@@ -157,7 +157,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Advice:
+class AdviceTiming:
     """How a service answers that knows which workers may run a step.
 
     Attributes:
@@ -194,7 +194,7 @@
     max_attempts: int = 1
     slack_factor: float = 1
     target_ms: int = 0
-    advice: Advice | None = None
+    advice: AdviceTiming | None = None
 
 
 @dataclass(frozen=True)
@@ -213,12 +213,12 @@
         return max(1, self.schedule.times)
 
     @cached_property
-    def chain_ms(self) -> float:
+    def critical_path_ms(self) -> float:
         """The longest chain of estimated work through the graph."""
-        return max(self.tails, default=0)
+        return max(self.critical_path_ms_by_step, default=0)
 
     @cached_property
-    def tails(self) -> tuple[float, ...]:
+    def critical_path_ms_by_step(self) -> tuple[float, ...]:
         """By step: the longest chain of estimated work that starts with it."""
         tails = [float(step.estimate_ms) for step in self.steps]
         for number in range(len(self.steps) - 1, -1, -1):
@@ -228,7 +228,7 @@
         return tuple(tails)
 
     @property
-    def is_sound(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether its steps can be planned, whoever wrote them."""
         return bool(self.steps) and all(
             0 < step.count <= _MAX_TASKS
--- a/hyssopring/jobs/moves.py
+++ b/hyssopring/jobs/moves.py
@@ -3,15 +3,15 @@
 from typing import Callable, Final, Iterable
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.advice import AdviceDesk
-from hyssopring.jobs.choice import PlacementRound
-from hyssopring.jobs.fleet import Fleet, Placed, Worker
-from hyssopring.jobs.harms import Harms
+from hyssopring.jobs.ticket_manager import TicketManager
+from hyssopring.jobs.placement_round import PlacementRound
+from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.interference import InterferenceModel
 from hyssopring.jobs.messages import WorkerReport
 from hyssopring.jobs.owned_shard import OwnedShard
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.shards import shard_of, shard_of_task
-from hyssopring.jobs.stopping import mark_stopping
+from hyssopring.jobs.stop_marks import mark_stopping
 
 __all__ = ('TaskMoves',)
 
@@ -36,8 +36,8 @@
         fleet: Fleet,
         shards: OwnedShards,
         stop: Stop,
-        advice: AdviceDesk,
-        harms: Harms,
+        advice: TicketManager,
+        harms: InterferenceModel,
     ) -> None:
         """Order stops by ``stop``."""
         self._clock = clock
@@ -78,7 +78,7 @@
         held = [
             (worker, placed)
             for worker in self._fleet.by_agent.values()
-            for placed in worker.fillers()
+            for placed in worker.best_effort_tasks()
             if _is_movable(placed, now)
         ]
         if not held:
@@ -92,7 +92,7 @@
                 self._stop(owned, worker, str(placed.name), placed.number)
 
 
-def _is_movable(placed: Placed, now: float) -> bool:
+def _is_movable(placed: PlacedAttempt, now: float) -> bool:
     if placed.is_stopping or placed.slow_ms(now) < _SLOW_MS:
         return False
     return placed.step.saves or placed.percent < _LITTLE_PERCENT
--- a/hyssopring/jobs/orders.py
+++ b/hyssopring/jobs/orders.py
@@ -7,9 +7,9 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.attempts import UNKNOWN_PACE, Attempt, AttemptTable, Phase
 from hyssopring.jobs.messages import StartOrder
-from hyssopring.jobs.watch import WorkerWatch
+from hyssopring.jobs.worker_monitor import WorkerMonitor
 from hyssopring.jobs.worker_port import (
-    Start,
+    StartRequest,
     StartOutcome,
     WorkerFenced,
     WorkerPort,
@@ -34,7 +34,7 @@
         reactor: Any,
         clock: Clock,
         port: WorkerPort,
-        watch: WorkerWatch,
+        watch: WorkerMonitor,
         table: AttemptTable,
         on_refused: Callable[[Attempt, str], None],
     ) -> None:
@@ -63,7 +63,7 @@
         watch = self._watch
         fence = watch.fences.current
         asked = self._port.start(
-            Start(
+            StartRequest(
                 order.boot,
                 fence,
                 attempt.task,
--- a/hyssopring/jobs/owned_shard.py
+++ b/hyssopring/jobs/owned_shard.py
@@ -7,15 +7,15 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.absences import Absences
-from hyssopring.jobs.book import JobRecord, StepRun
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.documents import JobRow, ProgressRow
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.former_owner import FormerOwner, ShardReign
+from hyssopring.jobs.former_owner import FormerOwner, AcquiredShard
 from hyssopring.jobs.locations import Locations
 from hyssopring.jobs.model import JobState, TaskName
-from hyssopring.jobs.odd_rows import OddRows
+from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.progress_writer import Ack, ProgressWriter, owner_check
-from hyssopring.jobs.reign_rows import ReignRows
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
 from hyssopring.jobs.row_keys import (
     cancel_key,
@@ -32,7 +32,7 @@
     Transaction,
 )
 from hyssopring.jobs.shard_reader import ShardReader
-from hyssopring.jobs.times import AUTHORITY_MS
+from hyssopring.jobs.times import OWNER_LEASE_MS
 from hyssopring.logs import Event, log_event
 
 __all__ = ('Ack', 'OwnedShard', 'ShardEvents')
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        taken: ShardReign,
+        taken: AcquiredShard,
         reactor: Any,
         clock: Clock,
         wall_ms: Callable[[], float],
@@ -74,7 +74,7 @@
     ) -> None:
         """Call ``load`` next."""
         self.shard = taken.shard
-        self.reign = taken.reign
+        self.epoch = taken.reign
         self.version = taken.version
         self.former = FormerOwner(clock, taken)
         self._confirmed_at = taken.confirmed_at
@@ -83,17 +83,17 @@
         self._store = store
         self._events = events
         self.by_job: dict[str, JobRecord] = {}
-        self.heard: set[str] = set()
-        self.unheard: set[str] = set()
+        self.reported: set[str] = set()
+        self.unreported: set[str] = set()
         self.is_loaded = False
         self.is_dropped = False
         self._live: dict[str, JobRecord] = {}
         self._early: list[JobRow] = []
-        self._odd = OddRows()
+        self._odd = RowParser()
         # Jobs whose progress cannot be read; see ``_inherit``.
         self._unclear: set[str] = set()
         self._check = owner_check(taken.shard, taken.version)
-        reign_rows = ReignRows(
+        reign_rows = EpochRows(
             store,
             taken.shard,
             self._check,
@@ -126,7 +126,7 @@
             self._check,
             self.by_job,
             events.on_acks,
-            self.deposed,
+            self.on_ownership_lost,
         )
 
     def load(self) -> None:
@@ -144,7 +144,7 @@
         A job of an earlier reign may have tasks on an agent that was not
         heard yet; started elsewhere they would run twice.
         """
-        if not record.is_inherited or not self.unheard:
+        if not record.is_inherited or not self.unreported:
             return run.waiting
         located = record.located_waiting(run)
         if not run.step.is_keeper:
@@ -152,18 +152,20 @@
         return located | {
             index
             for index in run.waiting
-            if not self.holders(run.task(record.job.job_id, index))
+            if not self.possible_agents(run.task(record.job.job_id, index))
         }
 
-    def holders(self, name: TaskName) -> set[str]:
+    def possible_agents(self, name: TaskName) -> set[str]:
         """Return the unheard agents that may run a lasting task."""
-        return self.locations.holders(str(name), self.unheard)
+        return self.locations.possible_agents(str(name), self.unreported)
 
     def wait_ms(self, agent_id: str) -> float:
         """For how long an unheard agent may still run what it was ordered."""
-        return max(0, self._absences.over_at(agent_id) - self._clock.now())
+        return max(
+            0, self._absences.grant_expires_at(agent_id) - self._clock.now()
+        )
 
-    def confirmed(self, sent_at: float) -> None:
+    def on_ownership_confirmed(self, sent_at: float) -> None:
         """A reading that was sent then shows that the shard is still owned."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
@@ -175,7 +177,7 @@
         frozen, or turned away by the store for a while, renews it and would
         go on for ever, long after its successor's wait for it is over.
         """
-        return self._clock.now() - self._confirmed_at < AUTHORITY_MS
+        return self._clock.now() - self._confirmed_at < OWNER_LEASE_MS
 
     def may_start_on(self, agent_id: str) -> bool:
         """Whether a start may be sent to an agent.
@@ -184,10 +186,10 @@
         this reign, a former owner may still order and grant there, so that
         nothing is known of what runs on it or for how long.
         """
-        is_listed = agent_id in self.heard and agent_id in self.roster
+        is_listed = agent_id in self.reported and agent_id in self.roster
         return is_listed and self.roster.may_grant(agent_id)
 
-    def turn(self, fleet: Fleet) -> None:
+    def tick(self, fleet: Fleet) -> None:
         """Give up agents on which nothing can run any more.
 
         Args:
@@ -196,16 +198,19 @@
         now = self._clock.now()
         # One that was granted under this reign and is not heard yet runs on
         # until that grant is over.
-        self.unheard = {
+        self.unreported = {
             agent_id
-            for agent_id in self.unheard
+            for agent_id in self.unreported
             if now
-            <= max(self._absences.over_at(agent_id), fleet.over_at(agent_id))
+            <= max(
+                self._absences.grant_expires_at(agent_id),
+                fleet.grant_expires_at(agent_id),
+            )
         }
         if self.is_loaded:
-            self._absences.look(fleet, self.unheard)
-            self.locations.look(
-                fleet, self.heard.__contains__, bool(self.unheard)
+            self._absences.check(fleet, self.unreported)
+            self.locations.update(
+                fleet, self.reported.__contains__, bool(self.unreported)
             )
             self.roster.write()
 
@@ -229,7 +234,7 @@
         job_id = row.job.job_id
         if self.is_known(job_id):
             return
-        record = JobRecord.from_row(row, self.reign, is_inherited)
+        record = JobRecord.from_row(row, self.epoch, is_inherited)
         self._keep(record)
         if job_id in self._cancelled_early:
             self._cancelled_early.discard(job_id)
@@ -241,11 +246,11 @@
         """Whether a job was read, found or told of before."""
         return job_id in self.by_job or job_id in self._unclear
 
-    def deposed(self) -> None:
+    def on_ownership_lost(self) -> None:
         """Another owner has the shard."""
         self._events.on_deposed(self)
 
-    def found(self, row: Row) -> None:
+    def on_job_row_found(self, row: Row) -> None:
         """A stored job that nobody has told of.
 
         Another entry may have told it to the former owner, which may have
@@ -279,25 +284,25 @@
             self._cancelled_early.clear()
             self._reader.poll()
 
-    def listed(self, agents: list[Row]) -> None:
+    def on_agent_rows(self, agents: list[Row]) -> None:
         """Take over the agents' rows; they may be granted from now on."""
         self.roster.loaded(agents, self._reader.store_time)
 
-    def loaded(self, jobs: list[Row], ends: list[Row]) -> None:
+    def on_job_rows(self, jobs: list[Row], ends: list[Row]) -> None:
         """Take over all stored rows."""
-        self.unheard = set(self.roster.agents)
+        self.unreported = set(self.roster.agents)
         self.locations.loaded()
-        end_by_job = {row.place.key: row for row in ends}
+        end_by_job = {row.row_key.key: row for row in ends}
         for row in jobs:
-            if is_job_key(row.place.key):
-                self._inherit(row, end_by_job.get(row.place.key))
+            if is_job_key(row.row_key.key):
+                self._inherit(row, end_by_job.get(row.row_key.key))
         self.is_loaded = True
         log_event(
             Event.SHARD_ACQUIRED,
             shard=self.shard,
-            reign=self.reign,
+            reign=self.epoch,
             jobs=len(self.by_job),
-            unheard=len(self.unheard),
+            unheard=len(self.unreported),
         )
         for early in self._early:
             self.add(early)
@@ -337,10 +342,10 @@
 
         A job taken from a second row would begin anew without its progress.
         """
-        job_row = self._odd.read(JobRow.from_text, row)
-        if job_row is None or job_row.job.job_id == row.place.key:
+        job_row = self._odd.parse(JobRow.from_text, row)
+        if job_row is None or job_row.job.job_id == row.row_key.key:
             return job_row
-        self._odd.say(row, 'job: the row of another one')
+        self._odd.log_malformed(row, 'job: the row of another one')
         return None
 
     def _inherit(self, row: Row, ends: Row | None) -> None:
@@ -354,13 +359,13 @@
             return
         progress = None
         if ends is not None:
-            progress = self._odd.read(ProgressRow.from_text, ends)
+            progress = self._odd.parse(ProgressRow.from_text, ends)
             if progress is None:
-                self._unclear.add(row.place.key)
+                self._unclear.add(row.row_key.key)
                 return
         record = JobRecord.from_row(
             job_row,
-            self.reign,
+            self.epoch,
             is_inherited=True,
             progress=progress,
         )
--- a/hyssopring/jobs/owned_shards.py
+++ b/hyssopring/jobs/owned_shards.py
@@ -2,10 +2,10 @@
 
 from typing import Iterable
 
-from hyssopring.jobs.book import JobRecord, StepRun
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.documents import JobRow
 from hyssopring.jobs.fleet import Worker
-from hyssopring.jobs.messages import ShardReign, WorkerReport
+from hyssopring.jobs.messages import ShardEpoch, WorkerReport
 from hyssopring.jobs.model import JobState
 from hyssopring.jobs.owned_shard import OwnedShard
 from hyssopring.jobs.shards import shard_of
@@ -102,12 +102,12 @@
         return {
             owned.shard
             for owned in self.by_shard.values()
-            if told.get(owned.shard) == owned.reign
+            if told.get(owned.shard) == owned.epoch
         }
 
-    def reigns(self) -> list[ShardReign]:
+    def epochs(self) -> list[ShardEpoch]:
         """Return each owned shard with its reign."""
         return [
-            ShardReign(owned.shard, owned.reign)
+            ShardEpoch(owned.shard, owned.epoch)
             for owned in self.by_shard.values()
         ]
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -4,9 +4,9 @@
 from typing import Any, Callable, Final
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.advice import AdviceDesk
-from hyssopring.jobs.advice_port import AdvicePort
-from hyssopring.jobs.book import JobRecord
+from hyssopring.jobs.ticket_manager import TicketManager
+from hyssopring.jobs.advice_client import AdviceClient
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.fleet import GRANT_TTL_MS, Fleet, Worker
 from hyssopring.jobs.messages import (
     BAD_TICKET,
@@ -15,7 +15,7 @@
     EndsRecorded,
     Grant,
     JobsMessage,
-    ReportQuestion,
+    ReportRequest,
     StartRefusal,
     StopOrder,
     TaskFacts,
@@ -27,10 +27,10 @@
 from hyssopring.jobs.planning import Send, StepPlanner
 from hyssopring.jobs.reports import ReportReader
 from hyssopring.jobs.shards import shard_of, shard_of_task
-from hyssopring.jobs.stalls import StallWatch
-from hyssopring.jobs.stopping import mark_stopping
-from hyssopring.jobs.suspects import Suspects
-from hyssopring.jobs.waits import LastingTaskWatch
+from hyssopring.jobs.stall_detector import StallDetector
+from hyssopring.jobs.stop_marks import mark_stopping
+from hyssopring.jobs.crash_suspects import CrashSuspects
+from hyssopring.jobs.keeper_waits import KeeperWaitMonitor
 from hyssopring.jobs.worker_port import StartOutcome
 from hyssopring.logs import Event, log_event
 
@@ -61,7 +61,7 @@
         may_act: Callable[[], bool],
         wall_ms: Callable[[], float],
         on_deposed: Callable[[OwnedShard], None],
-        advice: AdvicePort,
+        advice: AdviceClient,
     ) -> None:
         """Order agents by ``send`` while ``may_act`` says that it may."""
         self._on_deposed = on_deposed
@@ -71,7 +71,7 @@
         self._may_act = may_act
         self._wall_ms = wall_ms
         self.shards = OwnedShards()
-        self._advice = AdviceDesk(
+        self._advice = TicketManager(
             reactor,
             clock,
             advice,
@@ -80,8 +80,8 @@
             may_act,
             wall_ms,
         )
-        self._advice.on_tickets = self.plan_soon
-        self._suspects = Suspects(clock, fleet)
+        self._advice.on_tickets = self.schedule_planning
+        self._suspects = CrashSuspects(clock, fleet)
         self._planner = StepPlanner(
             reactor,
             clock,
@@ -93,7 +93,7 @@
             self._advice,
             self._suspects,
         )
-        self.waits = LastingTaskWatch(
+        self.waits = KeeperWaitMonitor(
             clock,
             fleet,
             self.shards,
@@ -101,7 +101,7 @@
             self._advice,
             self._suspects,
         )
-        self._stalls = StallWatch(clock)
+        self._stalls = StallDetector(clock)
         self._reader = ReportReader(
             clock,
             fleet,
@@ -115,7 +115,7 @@
             self.shards,
             self.stop,
             self._advice,
-            self._planner.harms,
+            self._planner.interference,
         )
 
     def acquire(self, owned: OwnedShard) -> None:
@@ -128,7 +128,7 @@
         """A shard's jobs are known: hear what runs, and what has ended."""
         self.hear_departed()
         for owned in self.shards.by_shard.values():
-            owned.turn(self._fleet)
+            owned.tick(self._fleet)
         self.ask_all()
 
     def hear_departed(self) -> None:
@@ -151,7 +151,7 @@
         self._reader.forget(owned.shard)
         if self.shards.by_shard.get(owned.shard) is owned:
             self.shards.by_shard.pop(owned.shard)
-        log_event(Event.SHARD_LOST, shard=owned.shard, reign=owned.reign)
+        log_event(Event.SHARD_LOST, shard=owned.shard, reign=owned.epoch)
         for worker in self._fleet.by_agent.values():
             for task in list(worker.placed_by_task):
                 if shard_of_task(task) == owned.shard:
@@ -160,7 +160,7 @@
     def accepted(self, record: JobRecord) -> None:
         """A job came to an owned shard."""
         self._reader.job_known(record)
-        self.plan_soon()
+        self.schedule_planning()
 
     def cancelled(self, record: JobRecord) -> None:
         """A job must not run any more."""
@@ -197,7 +197,7 @@
     @take.register
     def _take_report(self, message: WorkerReport, worker: Worker) -> None:
         suspects = self._suspects
-        suspects.deaths.take(worker, message, suspects.agents)
+        suspects.worker_crashes.record_report(worker, message, suspects.agents)
         worker.report = message
         worker.reported_at = self._clock.now()
         known = self.shards.known_to(message)
@@ -214,7 +214,7 @@
             else:
                 # Read again with the next report, once the jobs are known.
                 worker.reported_at = 0
-        self.plan_soon()
+        self.schedule_planning()
 
     def _meet(self, worker: Worker, owned: OwnedShard) -> None:
         """Note the first report of an agent that knows an owner's reign.
@@ -223,8 +223,8 @@
         own grants only, an attempt there would be given up while it runs, and
         run twice.
         """
-        if worker.agent_id not in owned.heard:
-            owned.heard.add(worker.agent_id)
+        if worker.agent_id not in owned.reported:
+            owned.reported.add(worker.agent_id)
             worker.granted_at = self._clock.now()
 
     @take.register
@@ -236,19 +236,19 @@
         is_settled = message.reason != RUNNING_HERE
         if placed and placed.number == message.attempt and is_settled:
             if message.reason == BAD_TICKET:
-                self._advice.rejected(placed.name, placed.boot)
+                self._advice.record_rejection(placed.name, placed.boot)
             elif message.reason in _WORKERS_REASONS:
                 worker.refused_at = self._clock.now()
-            self._reader.gone(worker, placed, message.reason)
+            self._reader.record_worker_lost(worker, placed, message.reason)
         owned = self.shards.by_shard.get(shard_of_task(message.task))
-        if owned is not None and message.reign > owned.reign:
+        if owned is not None and message.reign > owned.epoch:
             # Another entry owns the shard: the agents would refuse all else,
             # and each refused task would be sent again at once.
             self._on_deposed(owned)
 
     @take.register
     def _take_left(self, message: AgentLeft, worker: Worker) -> None:
-        departed = self._fleet.left(worker, message)
+        departed = self._fleet.remove_departed(worker, message)
         log_event(
             Event.AGENT_LEFT,
             agent=worker.agent_id,
@@ -258,31 +258,31 @@
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
                 self._reader.take_left(departed, owned)
-        self.plan_soon()
+        self.schedule_planning()
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Notice what is due or lapsed; call a few times a second."""
         now = self._clock.now()
         for record in self.shards.live_jobs():
             record.open_due(self._wall_ms())
         self._moves.evacuate()
         if self._may_act():
-            takers = self.shards.startable_on(self._fleet.takers())
+            takers = self.shards.startable_on(self._fleet.schedulable_workers())
             self._moves.relieve(takers)
-        if self._stalls.has_kept_up():
+        if self._stalls.record_tick():
             self._give_up_lost(now)
         self._list_agents()
-        self._advice.look()
-        self.waits.look()
-        self.plan_soon()
+        self._advice.check()
+        self.waits.check()
+        self.schedule_planning()
 
     def _give_up_lost(self, now: float) -> None:
         for worker in self._fleet.by_agent.values():
             if worker.placed_by_task and self._is_lost(worker, now):
                 for placed in list(worker.placed_by_task.values()):
-                    self._reader.gone(worker, placed, 'lapsed')
+                    self._reader.record_worker_lost(worker, placed, 'lapsed')
         for owned in self.shards.by_shard.values():
-            owned.turn(self._fleet)
+            owned.tick(self._fleet)
         self._fleet.forget_lost()
 
     def _is_lost(self, worker: Worker, now: float) -> bool:
@@ -305,13 +305,13 @@
             if owned.is_loaded:
                 owned.roster.add(agents)
 
-    def plan_soon(self) -> None:
+    def schedule_planning(self) -> None:
         """Plan once for all that happens in this turn of the reactor."""
-        self._planner.plan_soon()
+        self._planner.schedule_planning()
 
     def _ask(self, worker: Worker) -> None:
         if self.shards.by_shard:
-            question = ReportQuestion(self.shards.reigns(), worker.connection)
+            question = ReportRequest(self.shards.epochs(), worker.connection)
             self._send(worker.agent_id, question)
 
     def _grant(self, report: WorkerReport, worker: Worker) -> None:
@@ -319,7 +319,7 @@
         if worker.has_silent_worker:
             grant = Grant(report.sequence, [], 0)
         elif self.shards.may_grant(worker.agent_id):
-            grant = Grant(report.sequence, self.shards.reigns(), GRANT_TTL_MS)
+            grant = Grant(report.sequence, self.shards.epochs(), GRANT_TTL_MS)
             worker.granted_at = self._clock.now()
         else:
             # The agent takes any answer for a sign of life.
@@ -346,5 +346,5 @@
         """Order an attempt's stop."""
         self._send(
             worker.agent_id,
-            StopOrder(owned.shard, owned.reign, task, attempt),
+            StopOrder(owned.shard, owned.epoch, task, attempt),
         )
--- a/hyssopring/jobs/pacing.py
+++ b/hyssopring/jobs/pacing.py
@@ -17,7 +17,11 @@
     Attempt,
     Phase,
 )
-from hyssopring.jobs.harms import Harm, Harms, KeeperFigure
+from hyssopring.jobs.interference import (
+    InterferenceEstimate,
+    InterferenceModel,
+    KeeperFigure,
+)
 from hyssopring.logs import Event, log_event
 
 __all__ = ('Pacer',)
@@ -92,7 +96,7 @@
     """
 
     headroom: float
-    harms: list[Harm]
+    harms: list[InterferenceEstimate]
 
 
 class Pacer:
@@ -109,18 +113,18 @@
         self._load_by_task: dict[str, int] = {}
         self._figures_at = -_FIGURE_MS
         self._over_since: float | None = None
-        self._harms = Harms()
+        self._harms = InterferenceModel()
         # What is not in the figures yet: tasks whose pace has just changed.
         self._changed: set[str] = set()
 
-    def turn(self, attempts: Iterable[Attempt]) -> None:
+    def tick(self, attempts: Iterable[Attempt]) -> None:
         """Look at the tails of one listing."""
         known = list(attempts)
         if not self._are_new(known):
             return
         running = [attempt for attempt in known if _is_filler(attempt)]
         keepers = _keepers(known)
-        self._harms.look_beside(keepers, _use(running), self._figures_at)
+        self._harms.observe_worker(keepers, _use(running), self._figures_at)
         fillers = [self._filler(attempt) for attempt in running]
         self._decide(fillers, keepers)
         self._changed = {
@@ -231,12 +235,14 @@
     its own load is.
     """
     most = sum(
-        harm.risk * filler.use
+        harm.upper_bound * filler.use
         for harm, filler in zip(keeper.harms, fillers, strict=True)
     )
     if keeper.headroom + most < 1:
         return
-    blame = [harm.risk if is_in_doubt else harm.mean for harm in keeper.harms]
+    blame = [
+        harm.upper_bound if is_in_doubt else harm.mean for harm in keeper.harms
+    ]
     order = sorted(range(len(fillers)), key=blame.__getitem__, reverse=True)
     for place in order:
         filler, harm = fillers[place], blame[place]
@@ -251,14 +257,14 @@
 def _raise(beside: list[_Beside], fillers: list[_Filler]) -> None:
     """Give fillers the headroom that is left, the harmless ones first."""
     risks = [
-        max((each.harms[place].risk for each in beside), default=0)
+        max((each.harms[place].upper_bound for each in beside), default=0)
         for place in range(len(fillers))
     ]
     for place in sorted(range(len(fillers)), key=risks.__getitem__):
         filler = fillers[place]
         cores = min(
             (
-                (each.headroom - _AIM) / each.harms[place].risk
+                (each.headroom - _AIM) / each.harms[place].upper_bound
                 for each in beside
             ),
             default=filler.cores,
@@ -267,7 +273,7 @@
         if percent > 0:
             filler.rise(percent)
             for each in beside:
-                taken = each.harms[place].risk * filler.cores
+                taken = each.harms[place].upper_bound * filler.cores
                 each.headroom -= taken * percent / FULL_PACE
 
 
--- a/hyssopring/jobs/worker_lives.py
+++ b/hyssopring/jobs/past_incarnation.py
@@ -6,7 +6,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND
 from hyssopring.jobs.attempts import Attempt
 
-__all__ = ('PastLife',)
+__all__ = ('PastIncarnation',)
 
 # An attempt that was started this long before the worker was last heard of
 # has not crashed it by being started.
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PastLife:
+class PastIncarnation:
     """A worker's life that is over.
 
     Attributes:
--- a/hyssopring/jobs/peer_entries.py
+++ b/hyssopring/jobs/peer_entries.py
@@ -4,8 +4,8 @@
 from typing import Final, Iterable
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.documents import EntryRow, FormerReign, OwnerRow
-from hyssopring.jobs.odd_rows import OddRows
+from hyssopring.jobs.documents import EntryRow, FormerOwnerProcess, OwnerRow
+from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.rows import Row
 from hyssopring.jobs.times import ENTRY_SILENT_MS, RENEW_MS
 
@@ -41,7 +41,7 @@
         self._own_id = own_id
         self._read_at: float | None = None
         self._seen_by_entry: dict[str, _Seen] = {}
-        self._odd = OddRows()
+        self._odd = RowParser()
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -79,7 +79,7 @@
         # newer sign of life, after which it is given time to renew.
         return None
 
-    def is_dead(self, reign: FormerReign) -> bool:
+    def is_dead(self, reign: FormerOwnerProcess) -> bool:
         """Whether another process has followed a former owner's.
 
         Both have the same VM, so that the former one is dead. An entry's row
@@ -112,7 +112,7 @@
         now = self._clock.now()
         is_gap = self._read_at is None or now - self._read_at > _MAX_GAP_MS
         self._read_at = now
-        by_entry = {row.place.key: row for row in rows}
+        by_entry = {row.row_key.key: row for row in rows}
         by_entry.pop(self._own_id, None)
         for gone in self._seen_by_entry.keys() - by_entry.keys():
             self._seen_by_entry.pop(gone)
@@ -132,7 +132,7 @@
         """Take one row; True if it has not changed for a minute."""
         seen = self._seen_by_entry.get(entry_id)
         if seen is None or seen.version != row.version:
-            told = self._odd.read(EntryRow.from_text, row)
+            told = self._odd.parse(EntryRow.from_text, row)
             if told is None:
                 # No sign of life: an entry that lives writes its row again
                 # within ``RENEW_MS``; until then its former row holds.
--- a/hyssopring/jobs/questions.py
+++ b/hyssopring/jobs/peer_requests.py
@@ -7,14 +7,14 @@
 
 from hyssopring.jobs.messages import JobsMessage
 
-__all__ = ('Peers', 'Questions')
+__all__ = ('PeerTransport', 'PeerRequests')
 
 # Entries are a millisecond apart; after this time, which is assumed, the store
 # is read instead.
 _ASK_S: Final = 0.4
 
 
-class Peers(Protocol):
+class PeerTransport(Protocol):
     """Sends messages to other entries and to agents."""
 
     def to_entry(self, entry_id: str, message: JobsMessage) -> bool:
@@ -24,10 +24,10 @@
         """Write a message on a connection that a peer has opened."""
 
 
-class Questions:
+class PeerRequests:
     """Numbers questions and finds the answers' askers."""
 
-    def __init__(self, reactor: Any, peers: Peers) -> None:
+    def __init__(self, reactor: Any, peers: PeerTransport) -> None:
         """Ask by ``peers``."""
         self._reactor = reactor
         self._peers = peers
--- a/hyssopring/jobs/options.py
+++ b/hyssopring/jobs/placement_option.py
@@ -3,11 +3,15 @@
 from dataclasses import dataclass
 from typing import Final
 
-from hyssopring.jobs.fleet import Placed, Worker
-from hyssopring.jobs.harms import MOST_HEADROOM, Harm, Harms
+from hyssopring.jobs.fleet import PlacedAttempt, Worker
+from hyssopring.jobs.interference import (
+    MAX_HEADROOM,
+    InterferenceEstimate,
+    InterferenceModel,
+)
 from hyssopring.jobs.model import Size, Step, TaskName
 
-__all__ = ('NO_HARM', 'Option')
+__all__ = ('NEGLIGIBLE_INTERFERENCE', 'PlacementOption')
 
 # A filler starts where at least this part of its processor time is left:
 # started earlier it would only take the time of those that run.
@@ -29,7 +33,7 @@
 _WRONG_RACK: Final = 4000
 # Headroom is a keeper's target as a part of its tail. A filler that surely
 # takes less than this of it may start without waiting for the last one to show.
-NO_HARM: Final = 0.35
+NEGLIGIBLE_INTERFERENCE: Final = 0.35
 # So much is left to each keeper once all fillers beside it work at full pace:
 # figures move by 0.36 by chance, and by 0.3 as load swings.
 _LEAST_HEADROOM: Final = 1.2
@@ -42,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Option:
+class PlacementOption:
     """One worker and what is left of it while a round goes on.
 
     Attributes:
@@ -62,7 +66,7 @@
     targets: int
     fillers: int
     is_strained: bool
-    harms: Harms
+    harms: InterferenceModel
     headrooms: list[float]
     is_refusing: bool = False
 
@@ -70,11 +74,11 @@
     def from_worker(
         cls,
         worker: Worker,
-        harms: Harms,
+        harms: InterferenceModel,
         is_refusing: bool = False,
-    ) -> 'Option':
-        fillers = worker.fillers()
-        keepers = worker.keepers()
+    ) -> 'PlacementOption':
+        fillers = worker.best_effort_tasks()
+        keepers = worker.latency_critical_tasks()
         reserved = sum(placed.step.size.cpu_millis for placed in keepers)
         filling = sum(placed.cpu_in_use for placed in fillers)
         return cls(
@@ -98,7 +102,7 @@
 
     def allows(self, step: Step, is_starved: bool) -> bool:
         """Whether one more task of the step may start here."""
-        if not step.charge.fits_in(self.free):
+        if not step.reserved_size.fits_in(self.free):
             return False
         if not step.fills or is_starved:
             return True
@@ -112,20 +116,23 @@
 
     def is_harmless(self, step: Step) -> bool:
         """Whether it is known that no keeper here minds a filler."""
-        return self.worst_harm(step) < NO_HARM
+        return self.worst_harm(step) < NEGLIGIBLE_INTERFERENCE
 
     def worst_harm(self, step: Step) -> float:
         """Return the headroom that a filler may take of the keepers here."""
-        keepers = self.worker.keepers()
+        keepers = self.worker.latency_critical_tasks()
         if len(keepers) < self.targets:
             # One came in this round, of which nothing is known.
             return _FULL_HARM
         return max(
-            (_cores(step) * self._harm(each, step).risk for each in keepers),
+            (
+                _cores(step) * self._harm(each, step).upper_bound
+                for each in keepers
+            ),
             default=0,
         )
 
-    def _harm(self, keeper: Placed, step: Step) -> Harm:
+    def _harm(self, keeper: PlacedAttempt, step: Step) -> InterferenceEstimate:
         return self.harms.per_core(keeper.step.image, step.image)
 
     def _leaves_headroom(self, step: Step) -> bool:
@@ -134,7 +141,7 @@
         Each that is harmless by itself takes a little: ten of them beside a
         keeper put it over its target, and were all slowed down.
         """
-        keepers = self.worker.keepers()
+        keepers = self.worker.latency_critical_tasks()
         return all(
             left - _cores(step) * self._harm(keeper, step).mean
             > _LEAST_HEADROOM
@@ -164,9 +171,9 @@
             score -= _WRONG_RACK
         return score
 
-    def take(self, step: Step) -> None:
+    def reserve(self, step: Step) -> None:
         """Count one more task of the step."""
-        self.free = self.free.minus(step.charge)
+        self.free = self.free.minus(step.reserved_size)
         if step.fills:
             self.filling += step.size.cpu_millis
             self.fillers += 1
@@ -174,7 +181,9 @@
             self.headrooms = [
                 left - _cores(step) * self._harm(keeper, step).mean
                 for left, keeper in zip(
-                    self.headrooms, self.worker.keepers(), strict=False
+                    self.headrooms,
+                    self.worker.latency_critical_tasks(),
+                    strict=False,
                 )
             ]
         if step.target_ms:
@@ -206,11 +215,15 @@
     return step.size.cpu_millis / _MILLIS
 
 
-def _headroom(harms: Harms, keeper: Placed, fillers: list[Placed]) -> float:
+def _headroom(
+    harms: InterferenceModel,
+    keeper: PlacedAttempt,
+    fillers: list[PlacedAttempt],
+) -> float:
     """Return a keeper's headroom once all fillers work at full pace."""
     now = _NEW_HEADROOM
     if keeper.load:
-        now = min(MOST_HEADROOM, keeper.step.target_ms / keeper.load)
+        now = min(MAX_HEADROOM, keeper.step.target_ms / keeper.load)
     return now - sum(
         (each.cpu_at_full_pace - each.cpu_in_use)
         / _MILLIS
@@ -219,9 +232,11 @@
     )
 
 
-def _is_strained(fillers: list[Placed], keepers: list[Placed]) -> bool:
+def _is_strained(
+    fillers: list[PlacedAttempt], keepers: list[PlacedAttempt]
+) -> bool:
     paces = [max(placed.pace, 0) for placed in fillers]
-    if any(not placed.has_shown for placed in fillers):
+    if any(not placed.has_measured_usage for placed in fillers):
         return True
     if sum(paces) < _LOW_PACE * len(paces):
         return True
--- a/hyssopring/jobs/choice.py
+++ b/hyssopring/jobs/placement_round.py
@@ -5,9 +5,9 @@
 from typing import Container, Iterable
 
 from hyssopring.jobs.fleet import Worker
-from hyssopring.jobs.harms import Harms
+from hyssopring.jobs.interference import InterferenceModel
 from hyssopring.jobs.model import Size, Step, TaskName
-from hyssopring.jobs.options import Option
+from hyssopring.jobs.placement_option import PlacementOption
 
 __all__ = ('PlacementRound',)
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         workers: Iterable[Worker],
-        harms: Harms | None = None,
+        harms: InterferenceModel | None = None,
         refusing: Container[str] = (),
     ) -> None:
         """Look at these workers once; what is placed is counted here.
@@ -43,13 +43,15 @@
             harms: What is known of fillers beside keepers.
             refusing: Agents whose workers have refused starts: they come last.
         """
-        harms = harms or Harms()
+        harms = harms or InterferenceModel()
         self._unfit_by_kind: dict[_Kind, list[Size]] = {}
-        self._options_by_service: dict[str, list[Option]] = {}
+        self._options_by_service: dict[str, list[PlacementOption]] = {}
         for worker in workers:
             options = self._options_by_service.setdefault(worker.service, [])
             is_refusing = worker.agent_id in refusing
-            options.append(Option.from_worker(worker, harms, is_refusing))
+            options.append(
+                PlacementOption.from_worker(worker, harms, is_refusing)
+            )
 
     def choose(
         self,
@@ -93,7 +95,7 @@
                 option.score(step, rack),
             ),
         )
-        best.take(step)
+        best.reserve(step)
         return best.worker
 
     def choose_for_trial(
@@ -142,7 +144,7 @@
         self,
         service: str,
         boots: Container[str] | None,
-    ) -> list[Option]:
+    ) -> list[PlacementOption]:
         options = self._options_by_service.get(service, [])
         if boots is None:
             return options
@@ -183,7 +185,7 @@
         options = self._options(service, boots)
         groups = [options]
         if step.is_local:
-            by_rack: dict[str, list[Option]] = {}
+            by_rack: dict[str, list[PlacementOption]] = {}
             for option in options:
                 by_rack.setdefault(option.worker.rack, []).append(option)
             groups = [*by_rack.values(), options]
@@ -191,7 +193,7 @@
             chosen = _fit_all(group, step, names)
             if chosen:
                 for option in chosen:
-                    option.take(step)
+                    option.reserve(step)
                 return [option.worker for option in chosen]
         return []
 
@@ -207,16 +209,16 @@
             if not is_quiet or not option.has_label(step):
                 continue
             if option.allows(step, is_starved=False):
-                option.take(step)
+                option.reserve(step)
                 return True
         return False
 
 
 def _fit_all(
-    options: list[Option],
+    options: list[PlacementOption],
     step: Step,
     names: list[TaskName],
-) -> list[Option]:
+) -> list[PlacementOption]:
     """Fit a gang on copies of the options; return the originals, or none."""
     trials = [
         (option, replace(option))
@@ -224,7 +226,7 @@
         if option.has_label(step)
     ]
     used: Counter[str] = Counter()
-    chosen: list[Option] = []
+    chosen: list[PlacementOption] = []
     limit = step.max_per_worker or len(names)
     while len(chosen) < len(names):
         allowed = [
@@ -236,7 +238,7 @@
         if not allowed:
             return []
         option, trial = trials[max(allowed)[-1]]
-        trial.take(step)
+        trial.reserve(step)
         used[option.worker.agent_id] += 1
         chosen.append(option)
     return chosen
--- a/hyssopring/jobs/planning.py
+++ b/hyssopring/jobs/planning.py
@@ -4,16 +4,16 @@
 from typing import Any, Callable, Final, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.advice import AdviceDesk
-from hyssopring.jobs.book import JobRecord, StepRun
-from hyssopring.jobs.choice import PlacementRound
-from hyssopring.jobs.fleet import Fleet, Placed, Worker
-from hyssopring.jobs.harms import Harms
+from hyssopring.jobs.ticket_manager import TicketManager
+from hyssopring.jobs.job_record import JobRecord, StepRun
+from hyssopring.jobs.placement_round import PlacementRound
+from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.interference import InterferenceModel
 from hyssopring.jobs.messages import JobsMessage, StartOrder
 from hyssopring.jobs.model import JobState, TaskName
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.shards import shard_of
-from hyssopring.jobs.suspects import Suspects
+from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.jobs.task_facts import facts_of
 from hyssopring.jobs.urgency import Urgency, urgency
 from hyssopring.logs import Event, log_event
@@ -66,8 +66,8 @@
         send: Send,
         may_act: Callable[[], bool],
         wall_ms: Callable[[], float],
-        advice: AdviceDesk,
-        suspects: Suspects,
+        advice: TicketManager,
+        suspects: CrashSuspects,
     ) -> None:
         """Order agents by ``send`` while ``may_act`` says that it may."""
         self._reactor = reactor
@@ -79,11 +79,11 @@
         self._wall_ms = wall_ms
         self._advice = advice
         self._suspects = suspects
-        self.harms = Harms()
+        self.interference = InterferenceModel()
         self._is_plan_due = False
         self._plan_at = clock.now()
 
-    def plan_soon(self) -> None:
+    def schedule_planning(self) -> None:
         """Plan once for all that happens in this turn of the reactor."""
         if not self._is_plan_due:
             self._is_plan_due = True
@@ -104,8 +104,10 @@
         self._plan_at = ended_at + _PLAN_REST * (ended_at - begun_at)
 
     def _plan(self) -> None:
-        self.harms.look(self._fleet.by_agent.values(), self._clock.now())
-        self._suspects.look()
+        self.interference.observe_workers(
+            self._fleet.by_agent.values(), self._clock.now()
+        )
+        self._suspects.check()
         wall_ms = self._wall_ms()
         waiting = [
             _Waiting(
@@ -123,7 +125,9 @@
             return
         waiting.sort(key=lambda each: each.urgency)
         takers = self._suspects.spared(self._shards)
-        placement = PlacementRound(takers, self.harms, self._fleet.refusing())
+        placement = PlacementRound(
+            takers, self.interference, self._fleet.refusing()
+        )
         for each in waiting:
             self._place(placement, each)
 
@@ -172,7 +176,7 @@
         if not self._is_located(waiting, [name], [worker]):
             worker = self._located_worker(placement, waiting, name)
         if worker is not None:
-            number = record.next_number(task)
+            number = record.next_attempt(task)
             checkpoint = record.checkpoint_by_task.get(task, '')
             self._start(waiting, name, worker, number, checkpoint)
         return True
@@ -191,7 +195,9 @@
         owned = self._shards.by_shard[shard_of(name.job_id)]
         if not owned.roster.is_failing:
             return None
-        boots = owned.locations.located_on(str(name), self._fleet.takers())
+        boots = owned.locations.located_on(
+            str(name), self._fleet.schedulable_workers()
+        )
         if waiting.tickets is not None:
             boots &= waiting.tickets.keys()
         service = waiting.record.job.queue.service
@@ -218,7 +224,7 @@
         )
         if worker is None or not self._is_located(waiting, [name], [worker]):
             return
-        number = record.next_number(task)
+        number = record.next_attempt(task)
         checkpoint = record.checkpoint_by_task.get(task, '')
         self._start(waiting, name, worker, number, checkpoint, is_trial=True)
         self._suspects.begin(record, name, number, worker.agent_id)
@@ -232,7 +238,7 @@
         record, run = waiting.record, waiting.run
         if not run.is_gang_ready or len(waiting.indices) < run.step.count:
             return
-        names = list(record.job.tasks(run.occurrence, run.number))
+        names = list(record.job.tasks(run.occurrence, run.step_index))
         is_trial = self._suspects.needs_trial(record, names[0])
         if is_trial and not self._suspects.may_begin(record, names[0]):
             return
@@ -244,7 +250,7 @@
         )
         if not workers or not self._is_located(waiting, names, workers):
             return
-        number = record.next_gang_number(names)
+        number = record.next_gang_attempt(names)
         checkpoint = record.gang_checkpoint(names)
         for name, worker in zip(names, workers, strict=True):
             self._start(waiting, name, worker, number, checkpoint, is_trial)
@@ -286,7 +292,7 @@
         owned = self._shards.by_shard[shard_of(name.job_id)]
         order = StartOrder(
             owned.shard,
-            owned.reign,
+            owned.epoch,
             worker.boot,
             record.job.payload,
             checkpoint,
@@ -297,17 +303,17 @@
         )
         if not self._send(worker.agent_id, order):
             return
-        worker.orders += 1
-        worker.placed_by_task[task] = Placed(
+        worker.starts_sent += 1
+        worker.placed_by_task[task] = PlacedAttempt(
             name,
             number,
             run.step,
             worker.boot,
-            worker.orders,
+            worker.starts_sent,
             self._clock.now(),
             checkpoint,
         )
-        run.placed(name.index)
+        run.mark_running(name.index)
         if record.state is JobState.QUEUED:
             record.state = JobState.ACTIVE
         log_event(
@@ -317,7 +323,7 @@
             agent=worker.agent_id,
             resumed=bool(checkpoint),
             trial=is_trial,
-            reign=owned.reign,
+            reign=owned.epoch,
             report_age_ms=int(self._clock.now() - worker.reported_at),
             grant_age_ms=int(self._clock.now() - worker.granted_at),
         )
--- a/hyssopring/jobs/look_retries.py
+++ b/hyssopring/jobs/poll_backoff.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-__all__ = ('ANSWER_MS', 'LookRetries')
+__all__ = ('ANSWER_MS', 'PollBackoff')
 
 # The worker is on the same VM and answers within a few ms, unless the VM is
 # overloaded.
@@ -14,7 +14,7 @@
 _MAX_DOUBLINGS: Final = 8
 
 
-class LookRetries:
+class PollBackoff:
     """Doubles time limit and pause with each look that gets no answer.
 
     Until a new incarnation has taken a look it carries out what was sent to
--- a/hyssopring/jobs/progress_writer.py
+++ b/hyssopring/jobs/progress_writer.py
@@ -5,7 +5,7 @@
 
 from twisted.python.failure import Failure as TwistedFailure
 
-from hyssopring.jobs.book import JobRecord
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.model import JobState
 from hyssopring.jobs.row_keys import owner_key, progress_key
 from hyssopring.jobs.rows import (
@@ -145,9 +145,9 @@
 
     def _rewrite(self, conflict: Conflict, taken: _AcksByJob) -> None:
         """A former write was carried out after all, or another one owns."""
-        version_by_place = {row.place: row.version for row in conflict.rows}
+        version_by_place = {row.row_key: row.version for row in conflict.rows}
         check = self._owner_check
-        if version_by_place.get(check.place) != check.version:
+        if version_by_place.get(check.row_key) != check.version:
             self._on_deposed()
             return
         for job_id in taken:
--- a/hyssopring/jobs/taken_orders.py
+++ b/hyssopring/jobs/received_starts.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-__all__ = ('TakenOrders',)
+__all__ = ('ReceivedStarts',)
 
 # Names of connections whose counts are kept; one is in use, and what was sent
 # on the last few may still be read.
@@ -18,7 +18,7 @@
     by_connection: dict[str, int] = field(default_factory=dict)
 
 
-class TakenOrders:
+class ReceivedStarts:
     """Counts starts by connection, as both ends of it understand the count.
 
     An entry takes a start that was counted and is not listed for over. Starts
@@ -43,7 +43,7 @@
         while len(counts.by_connection) > _KEPT:
             counts.by_connection.pop(next(iter(counts.by_connection)))
 
-    def take(self, entry_id: str, connection: str) -> bool:
+    def record(self, entry_id: str, connection: str) -> bool:
         """Count a start; False if it is of another connection, and void."""
         if not connection or connection != self.connection(entry_id):
             return False
--- a/hyssopring/jobs/relay.py
+++ b/hyssopring/jobs/relay.py
@@ -18,9 +18,9 @@
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.messages import JobsMessage
-from hyssopring.jobs.questions import Peers, Questions
+from hyssopring.jobs.peer_requests import PeerTransport, PeerRequests
 from hyssopring.jobs.relay_messages import (
-    RelayedAnswer,
+    RelayedResponse,
     RelayedChanges,
     RelayedCommit,
     RelayedRead,
@@ -37,7 +37,7 @@
     outcome_of,
     transaction_of,
 )
-from hyssopring.jobs.row_keys import ENTRIES
+from hyssopring.jobs.row_keys import ENTRIES_TABLE
 from hyssopring.jobs.rows import (
     Page,
     RowKey,
@@ -71,7 +71,7 @@
 Relayed = Callable[[int], JobsMessage]
 
 
-class RelayPeers(Peers, Protocol):
+class RelayPeers(PeerTransport, Protocol):
     """The entries that may be asked to make a call."""
 
     @property
@@ -93,7 +93,7 @@
         self._clock = clock
         self._direct = direct
         self._peers = peers
-        self._questions = Questions(reactor, peers)
+        self._questions = PeerRequests(reactor, peers)
         self._peer = ''
         self._unserved_at: dict[str, float] = {}
         self._failed_at = _NEVER
@@ -155,7 +155,7 @@
             lambda answer: self._peers.answer(peer_id, answer),
         )
 
-    def answered(self, answer: RelayedAnswer) -> None:
+    def answered(self, answer: RelayedResponse) -> None:
         """A peer has made a call."""
         self._questions.answered(answer.number, answer)
 
@@ -209,7 +209,7 @@
 
     @inlineCallbacks
     def _relay(self, relayed: Relayed, timeout_s: float, doubts: int) -> Any:
-        """Ask peers until one is served; a deferred ``RelayedAnswer``.
+        """Ask peers until one is served; a deferred ``RelayedResponse``.
 
         After so many ``doubts`` no other peer is asked. A reading is asked of
         a second one: an entry whose first peer was not served either asked
@@ -265,7 +265,7 @@
         if self._clock.now() < self._probe_at:
             return
         self._probe_at = self._clock.now() + _PROBE_MS
-        probing = self._direct.read(ENTRIES, '')
+        probing = self._direct.read(ENTRIES_TABLE, '')
         probing.addCallbacks(self._served_again, self._still_away)
 
     def _served_again(self, _page: Page) -> None:
--- a/hyssopring/jobs/relay_messages.py
+++ b/hyssopring/jobs/relay_messages.py
@@ -3,7 +3,7 @@
 from hyssopring.protocol.structs import struct
 
 __all__ = (
-    'RelayedAnswer',
+    'RelayedResponse',
     'RelayedChanges',
     'RelayedCommit',
     'RelayedRead',
@@ -55,7 +55,7 @@
 
 
 @struct
-class RelayedAnswer:
+class RelayedResponse:
     """What the store has answered a peer; ``kind`` is a ``RelayedKind``."""
 
     number: int
--- a/hyssopring/jobs/relayed_calls.py
+++ b/hyssopring/jobs/relayed_calls.py
@@ -6,7 +6,7 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.jobs.relay_messages import (
-    RelayedAnswer,
+    RelayedResponse,
     RelayedCommit,
     StoredRow,
 )
@@ -56,8 +56,8 @@
     UNCERTAIN = 'uncertain'
 
 
-REFUSED: Final = RelayedAnswer(0, RelayedKind.REFUSED.value, 0, [], False)
-IN_DOUBT: Final = RelayedAnswer(0, RelayedKind.UNCERTAIN.value, 0, [], False)
+REFUSED: Final = RelayedResponse(0, RelayedKind.REFUSED.value, 0, [], False)
+IN_DOUBT: Final = RelayedResponse(0, RelayedKind.UNCERTAIN.value, 0, [], False)
 
 
 def commit_message(number: int, transaction: Transaction) -> RelayedCommit:
@@ -65,10 +65,10 @@
     return RelayedCommit(
         number,
         [
-            _stored(Row(check.place, '', check.version))
+            _stored(Row(check.row_key, '', check.version))
             for check in transaction.checks
         ],
-        [_stored(Row(put.place, put.text, 0)) for put in transaction.puts],
+        [_stored(Row(put.row_key, put.text, 0)) for put in transaction.puts],
         [_stored(Row(place, '', 0)) for place in transaction.removals],
     )
 
@@ -82,22 +82,22 @@
     )
 
 
-def is_refused(answer: RelayedAnswer) -> bool:
+def is_refused(answer: RelayedResponse) -> bool:
     """Whether the call was surely not carried out."""
     return answer.kind == RelayedKind.REFUSED.value
 
 
-def is_in_doubt(answer: RelayedAnswer) -> bool:
+def is_in_doubt(answer: RelayedResponse) -> bool:
     """Whether the call may have been, or may yet be, carried out."""
     return answer.kind == RelayedKind.UNCERTAIN.value
 
 
-def is_served(answer: RelayedAnswer) -> bool:
+def is_served(answer: RelayedResponse) -> bool:
     """Whether the store has answered the peer."""
     return not is_refused(answer) and not is_in_doubt(answer)
 
 
-def answer_of(outcome: Outcome, number: int) -> RelayedAnswer:
+def answer_of(outcome: Outcome, number: int) -> RelayedResponse:
     """Return the message that tells what the store has answered."""
     match outcome:
         case Committed(version):
@@ -122,7 +122,7 @@
     return _answer(number, RelayedKind.PAGE, ())
 
 
-def failed_answer(failure: TwistedFailure, number: int) -> RelayedAnswer:
+def failed_answer(failure: TwistedFailure, number: int) -> RelayedResponse:
     """Return the message that tells that the store has not answered."""
     reason = failure.trap(HistoryLost, StoreRefused, StoreUncertain)
     kind_by_error = {
@@ -133,7 +133,7 @@
     return _answer(number, kind_by_error[reason], ())
 
 
-def outcome_of(answer: RelayedAnswer) -> Outcome:
+def outcome_of(answer: RelayedResponse) -> Outcome:
     """Return what a served call has come to; raises HistoryLost."""
     rows = tuple(
         Row(_place(row), row.text, row.version, row.is_removed)
@@ -163,16 +163,16 @@
     kind: RelayedKind,
     rows: tuple[Row, ...],
     version: int = 0,
-) -> RelayedAnswer:
+) -> RelayedResponse:
     stored = [_stored(row) for row in rows]
-    return RelayedAnswer(number, kind.value, version, stored, False)
+    return RelayedResponse(number, kind.value, version, stored, False)
 
 
 def _stored(row: Row) -> StoredRow:
     return StoredRow(
-        row.place.table,
-        row.place.part,
-        row.place.key,
+        row.row_key.table,
+        row.row_key.part,
+        row.row_key.key,
         row.text,
         row.version,
         row.is_removed,
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -3,8 +3,8 @@
 from typing import Final, Protocol, TypeVar
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.book import JobRecord, StepRun
-from hyssopring.jobs.fleet import Departed, Fleet, Placed, Worker
+from hyssopring.jobs.job_record import JobRecord, StepRun
+from hyssopring.jobs.fleet import Departed, Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.messages import (
     AttemptReport,
     EndReport,
@@ -16,10 +16,10 @@
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.seen_ends import SeenEnds
 from hyssopring.jobs.shards import shard_of, shard_of_task
-from hyssopring.jobs.stopping import mark_stopping
-from hyssopring.jobs.suspects import TRIAL_MS, Suspects
+from hyssopring.jobs.stop_marks import mark_stopping
+from hyssopring.jobs.crash_suspects import TRIAL_MS, CrashSuspects
 from hyssopring.jobs.task_facts import facts_of
-from hyssopring.jobs.times import LAPSED_MS
+from hyssopring.jobs.times import HOLD_EXPIRY_MS
 from hyssopring.jobs.unknown_jobs import UnknownJobs
 from hyssopring.logs import Event, log_event
 
@@ -59,7 +59,7 @@
         fleet: Fleet,
         shards: OwnedShards,
         sink: ReportSink,
-        suspects: Suspects,
+        suspects: CrashSuspects,
     ) -> None:
         """Hand what follows from a report to ``sink``."""
         self._suspects = suspects
@@ -92,7 +92,7 @@
 
     def recorded(self, acks: list[Ack]) -> None:
         """Ends are durable, and their agents are told so now."""
-        self._seen_ends.recorded(acks)
+        self._seen_ends.mark_durable(acks)
 
     def reconcile(
         self,
@@ -101,7 +101,7 @@
         owned: OwnedShard,
     ) -> None:
         """Take a report that names all attempts of a shard on a worker."""
-        if not report.boot and report.silent_ms < LAPSED_MS:
+        if not report.boot and report.silent_ms < HOLD_EXPIRY_MS:
             # A new agent has not met its worker yet, where tasks may run on;
             # without an agent they end with the hold.
             return
@@ -110,7 +110,7 @@
         for attempt in _of_shard(report.attempts, owned.shard):
             self._take_attempt(worker, report.boot, attempt, owned)
         self._drop_unlisted(worker, report, owned)
-        owned.unheard.discard(worker.agent_id)
+        owned.unreported.discard(worker.agent_id)
 
     def take_left(self, departed: Departed, owned: OwnedShard) -> None:
         """Take the last word of an agent on whose worker nothing runs.
@@ -123,9 +123,9 @@
             self._take_end(worker, message.boot, end, owned)
         for placed in list(worker.placed_by_task.values()):
             if shard_of(placed.name.job_id) == owned.shard:
-                self.gone(worker, placed, 'agent left')
+                self.record_worker_lost(worker, placed, 'agent left')
         if owned.former.had_given_up(departed.at):
-            owned.unheard.discard(worker.agent_id)
+            owned.unreported.discard(worker.agent_id)
 
     def _take_job(
         self,
@@ -155,11 +155,11 @@
         ]
         for task, placed in ordered:
             if placed.boot != report.boot:
-                self.gone(worker, placed, 'worker replaced')
-            elif task not in listed and worker.has_taken(placed, report):
+                self.record_worker_lost(worker, placed, 'worker replaced')
+            elif task not in listed and worker.has_received(placed, report):
                 # Its worker may have left the start without an answer.
                 worker.refused_at = self._clock.now()
-                self.gone(worker, placed, 'not listed')
+                self.record_worker_lost(worker, placed, 'not listed')
 
     def _take_attempt(
         self,
@@ -190,9 +190,9 @@
             self._sink.stop(owned, worker, told.task, told.attempt)
             return
         assert worker.report is not None, 'it has told of the attempt'
-        placed.take(told, self._clock.now(), worker.report.silent_ms)
-        if placed.seen_ms >= TRIAL_MS and not record.crashes.is_empty:
-            self._suspects.outlived(record, name)
+        placed.update(told, self._clock.now(), worker.report.silent_ms)
+        if placed.observed_ms >= TRIAL_MS and not record.crashes.is_empty:
+            self._suspects.record_survival(record, name)
         record.keep_checkpoint(told.task, told.checkpoint)
         self._answer(worker, told, placed, owned)
 
@@ -200,7 +200,7 @@
         self,
         worker: Worker,
         told: AttemptReport,
-        placed: Placed,
+        placed: PlacedAttempt,
         owned: OwnedShard,
     ) -> None:
         """Tell the agent what it lacks about an attempt."""
@@ -216,7 +216,7 @@
         boot: str,
         told: AttemptReport,
         record: JobRecord | None,
-    ) -> Placed | None:
+    ) -> PlacedAttempt | None:
         """Take over an attempt that a former owner has started."""
         if record is None:
             return None
@@ -234,7 +234,7 @@
             and not run.is_done_task(name.index)
             and not runs_elsewhere
         )
-        placed = Placed(
+        placed = PlacedAttempt(
             name,
             told.attempt,
             run.step,
@@ -247,7 +247,7 @@
             why = 'another attempt runs, or the task has ended'
             mark_stopping(placed, worker, why)
         if is_wanted:
-            run.placed(name.index)
+            run.mark_running(name.index)
             if record.state is JobState.QUEUED:
                 record.state = JobState.ACTIVE
         return placed
@@ -261,7 +261,7 @@
     ) -> None:
         ack = Ack(worker.agent_id, boot, end.number)
         if ack in self._seen_ends:
-            if self._seen_ends.must_tell_again(ack):
+            if self._seen_ends.must_confirm_again(ack):
                 self._sink.recorded([ack])
             return
         name = TaskName.from_text(end.task)
@@ -310,7 +310,7 @@
             return record.take_failed(name, end.attempt)
         if end.how not in _CRASHES or run.is_done_task(name.index):
             return False
-        if not self._suspects.crashed(record, name, end, worker):
+        if not self._suspects.record_crash(record, name, end, worker):
             return False
         record.final_state = JobState.FAILED
         return True
@@ -324,7 +324,7 @@
     ) -> None:
         if run.step.is_gang:
             # The end of one member stands for all.
-            for member in record.job.tasks(run.occurrence, run.number):
+            for member in record.job.tasks(run.occurrence, run.step_index):
                 record.take_done(member)
             return
         record.take_done(name)
@@ -344,13 +344,15 @@
     def _stop_placed(
         self,
         worker: Worker,
-        placed: Placed,
+        placed: PlacedAttempt,
         owned: OwnedShard,
     ) -> None:
         mark_stopping(placed, worker, 'done elsewhere, or its gang is broken')
         self._sink.stop(owned, worker, str(placed.name), placed.number)
 
-    def gone(self, worker: Worker, placed: Placed, reason: str) -> None:
+    def record_worker_lost(
+        self, worker: Worker, placed: PlacedAttempt, reason: str
+    ) -> None:
         """An attempt does not run and never will."""
         task = str(placed.name)
         worker.placed_by_task.pop(task, None)
@@ -365,7 +367,7 @@
             reason=reason,
             boot=placed.boot,
             present=worker.boot,
-            order=placed.order,
+            order=placed.start_index,
             grant_age_ms=int(now - worker.granted_at),
             report_age_ms=int(now - worker.reported_at),
         )
@@ -378,7 +380,7 @@
         if not self.places(name):
             run.returned(name.index)
 
-    def places(self, name: TaskName) -> list[tuple[Worker, Placed]]:
+    def places(self, name: TaskName) -> list[tuple[Worker, PlacedAttempt]]:
         """Return where attempts of a task may run."""
         task = str(name)
         return [
--- a/hyssopring/jobs/roster.py
+++ b/hyssopring/jobs/roster.py
@@ -7,8 +7,8 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.documents import AgentRow
-from hyssopring.jobs.odd_rows import OddRows
-from hyssopring.jobs.reign_rows import ReignRows
+from hyssopring.jobs.row_parser import RowParser
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster_entry import RosterEntry
 from hyssopring.jobs.row_keys import agent_key
 from hyssopring.jobs.rows import (
@@ -22,7 +22,7 @@
     StoreUncertain,
     Transaction,
 )
-from hyssopring.jobs.store_time import StoreTime
+from hyssopring.jobs.store_clock import StoreClock
 
 __all__ = ('Roster',)
 
@@ -54,7 +54,7 @@
         store: RowStore,
         shard: int,
         owner_check: RowCheck,
-        reigns: ReignRows,
+        reigns: EpochRows,
         on_written: Callable[[], None],
     ) -> None:
         """Write under ``owner_check``; ``on_written`` hears of new rows.
@@ -75,7 +75,7 @@
         self._reigns = reigns
         self._on_written = on_written
         self._entry_by_agent: dict[str, RosterEntry] = {}
-        self._odd = OddRows()
+        self._odd = RowParser()
         self._is_writing = False
         self._rests_until = clock.now()
 
@@ -94,7 +94,7 @@
         """Whether the last write has failed a moment ago."""
         return self._clock.now() < self._rests_until
 
-    def loaded(self, rows: Iterable[Row], store_time: StoreTime) -> None:
+    def loaded(self, rows: Iterable[Row], store_time: StoreClock) -> None:
         """Take over the stored rows.
 
         Those of a load that is tried again are left: this owner alone writes
@@ -104,7 +104,7 @@
             return
         self.is_known = True
         self._entry_by_agent = {
-            row.place.key: self._read(row, store_time) for row in rows
+            row.row_key.key: self._read(row, store_time) for row in rows
         }
 
     def may_grant(self, agent_id: str) -> bool:
@@ -141,10 +141,10 @@
             entry.want(replace(entry.wanted, tasks=told))
             self.write()
 
-    def suspend(
+    def set_expiries(
         self,
         over_at_by_agent: Mapping[str, float],
-        store_time: StoreTime,
+        store_time: StoreClock,
     ) -> None:
         """Say of agents that are away when all granted there is over.
 
@@ -154,7 +154,7 @@
             return
         for agent_id, over_at in over_at_by_agent.items():
             entry = self._entry_by_agent.get(agent_id)
-            over_ms = store_time.latest(over_at)
+            over_ms = store_time.latest_reading(over_at)
             if entry is None or not _is_news(entry.wanted.over_ms, over_ms):
                 continue
             told = replace(
@@ -174,7 +174,7 @@
             entry.want(replace(entry.wanted, over_ms=None, reign=0))
         self.write()
 
-    def strike(self, agent_id: str) -> None:
+    def remove(self, agent_id: str) -> None:
         """Take an agent off the list, on which nothing can run any more.
 
         The row's version is checked: a write that is carried out late must
@@ -230,10 +230,10 @@
             errbackArgs=(row_by_agent,),
         )
 
-    def _read(self, row: Row, store_time: StoreTime) -> RosterEntry:
+    def _read(self, row: Row, store_time: StoreClock) -> RosterEntry:
         """Read a row; what owners before ``since`` said may be outdated."""
         entry = RosterEntry(row.version, is_listed=True, is_dirty=False)
-        told = self._odd.read(AgentRow.from_text, row)
+        told = self._odd.parse(AgentRow.from_text, row)
         if told is None:
             # It may have listed any task.
             self._reigns.void()
@@ -245,7 +245,7 @@
             return entry
         entry.may_be_suspended = True
         if store_time.is_known:
-            entry.over_at = store_time.reached(told.over_ms)
+            entry.over_at = store_time.passed_at(told.over_ms)
         return entry
 
     def _written(
@@ -271,9 +271,9 @@
 
         A write without an answer was carried out after all.
         """
-        version_by_place = {row.place: row.version for row in conflict.rows}
+        version_by_place = {row.row_key: row.version for row in conflict.rows}
         check = self._check
-        if version_by_place.get(check.place) != check.version:
+        if version_by_place.get(check.row_key) != check.version:
             # Another owner has the shard; the next reading of it tells.
             self._rests_until = self._clock.now() + _REST_MS
         for agent_id, entry in self._entries(agents):
--- a/hyssopring/jobs/row_keys.py
+++ b/hyssopring/jobs/row_keys.py
@@ -4,12 +4,12 @@
 from hyssopring.jobs.shards import shard_of
 
 __all__ = (
-    'AGENTS',
+    'AGENTS_TABLE',
     'CANCEL_SUFFIX',
-    'DONE',
-    'ENTRIES',
-    'JOBS',
-    'OWNERS',
+    'PROGRESS_TABLE',
+    'ENTRIES_TABLE',
+    'JOBS_TABLE',
+    'OWNERS_TABLE',
     'agent_key',
     'cancel_key',
     'is_job_key',
@@ -18,14 +18,14 @@
     'part_of',
     'progress_key',
     'roster_key',
-    'wait_key',
+    'former_owners_key',
 )
 
-JOBS = 'hs_jobs'
-DONE = 'hs_done'
-OWNERS = 'hs_owner'
-ENTRIES = 'hs_entry'
-AGENTS = 'hs_agent'
+JOBS_TABLE = 'hs_jobs'
+PROGRESS_TABLE = 'hs_done'
+OWNERS_TABLE = 'hs_owner'
+ENTRIES_TABLE = 'hs_entry'
+AGENTS_TABLE = 'hs_agent'
 CANCEL_SUFFIX = '/x'
 
 
@@ -36,7 +36,7 @@
 
 def job_key(job_id: str) -> RowKey:
     """Where an accepted job lies."""
-    return RowKey(JOBS, part_of(shard_of(job_id)), job_id)
+    return RowKey(JOBS_TABLE, part_of(shard_of(job_id)), job_id)
 
 
 def is_job_key(key: str) -> bool:
@@ -46,29 +46,29 @@
 
 def cancel_key(job_id: str) -> RowKey:
     """Where a job's cancellation lies."""
-    return RowKey(JOBS, part_of(shard_of(job_id)), job_id + CANCEL_SUFFIX)
+    return RowKey(JOBS_TABLE, part_of(shard_of(job_id)), job_id + CANCEL_SUFFIX)
 
 
 def progress_key(job_id: str) -> RowKey:
     """Where a job's ends lie."""
-    return RowKey(DONE, part_of(shard_of(job_id)), job_id)
+    return RowKey(PROGRESS_TABLE, part_of(shard_of(job_id)), job_id)
 
 
 def agent_key(shard: int, agent_id: str) -> RowKey:
     """Where it is said that an agent may hold tasks of a shard."""
-    return RowKey(AGENTS, part_of(shard), agent_id)
+    return RowKey(AGENTS_TABLE, part_of(shard), agent_id)
 
 
 def owner_key(shard: int) -> RowKey:
     """Where a shard's owner lies."""
-    return RowKey(OWNERS, part_of(shard), 'owner')
+    return RowKey(OWNERS_TABLE, part_of(shard), 'owner')
 
 
-def wait_key(shard: int) -> RowKey:
+def former_owners_key(shard: int) -> RowKey:
     """Where it is said that a former owner may still act."""
-    return RowKey(OWNERS, part_of(shard), 'wait')
+    return RowKey(OWNERS_TABLE, part_of(shard), 'wait')
 
 
 def roster_key(shard: int) -> RowKey:
     """Where it is said which owners have kept to the agents' rows."""
-    return RowKey(OWNERS, part_of(shard), 'roster')
+    return RowKey(OWNERS_TABLE, part_of(shard), 'roster')
--- a/hyssopring/jobs/odd_rows.py
+++ b/hyssopring/jobs/row_parser.py
@@ -2,11 +2,11 @@
 
 from typing import Callable, Final, TypeVar
 
-from hyssopring.jobs.documents import UnreadableRow
+from hyssopring.jobs.documents import MalformedRowError
 from hyssopring.jobs.rows import Row, RowKey
 from hyssopring.logs import Event, log_event
 
-__all__ = ('OddRows',)
+__all__ = ('RowParser',)
 
 _Document = TypeVar('_Document')
 
@@ -16,14 +16,14 @@
 _MAX_DETAIL: Final = 200
 
 
-class OddRows:
+class RowParser:
     """Reads rows one by one, and logs each odd one once a version."""
 
     def __init__(self) -> None:
         """Have said nothing yet."""
         self._said: dict[RowKey, int] = {}
 
-    def read(
+    def parse(
         self,
         reader: Callable[[str], _Document],
         row: Row,
@@ -31,16 +31,16 @@
         """Return a row's document, None if it holds none."""
         try:
             return reader(row.text)
-        except UnreadableRow as error:
-            self.say(row, str(error))
+        except MalformedRowError as error:
+            self.log_malformed(row, str(error))
         return None
 
-    def say(self, row: Row, detail: str) -> None:
+    def log_malformed(self, row: Row, detail: str) -> None:
         """Log what is odd about a row, unless that was said."""
-        if self._said.get(row.place) == row.version:
+        if self._said.get(row.row_key) == row.version:
             return
         if len(self._said) >= _MAX_SAID:
             self._said.pop(next(iter(self._said)))
-        self._said[row.place] = row.version
-        place = f'{row.place.table}/{row.place.part}/{row.place.key}'
+        self._said[row.row_key] = row.version
+        place = f'{row.row_key.table}/{row.row_key.part}/{row.row_key.key}'
         log_event(Event.PEER_ERROR, peer=place, detail=detail[:_MAX_DETAIL])
--- a/hyssopring/jobs/rows.py
+++ b/hyssopring/jobs/rows.py
@@ -45,7 +45,7 @@
 class Row:
     """A row as it is; a removed one has no text."""
 
-    place: RowKey
+    row_key: RowKey
     text: str
     version: int
     is_removed: bool = False
@@ -55,7 +55,7 @@
 class RowCheck:
     """The version that a row must have; 0 that it must not exist."""
 
-    place: RowKey
+    row_key: RowKey
     version: int
 
 
@@ -63,7 +63,7 @@
 class RowPut:
     """A row to write."""
 
-    place: RowKey
+    row_key: RowKey
     text: str
 
 
--- a/hyssopring/jobs/seen_ends.py
+++ b/hyssopring/jobs/seen_ends.py
@@ -53,14 +53,14 @@
             if seen.shard != shard
         }
 
-    def recorded(self, acks: Iterable[Ack]) -> None:
+    def mark_durable(self, acks: Iterable[Ack]) -> None:
         """Ends are durable, and their agents are told so now."""
         for ack in acks:
             seen = self._by_ack.get(ack)
             if seen is not None:
                 seen.told_at = self._clock.now()
 
-    def must_tell_again(self, ack: Ack) -> bool:
+    def must_confirm_again(self, ack: Ack) -> bool:
         """Whether an agent that still lists a durable end has missed the word.
 
         The message was lost with its connection, or its agent was killed; the
--- a/hyssopring/jobs/shard_reader.py
+++ b/hyssopring/jobs/shard_reader.py
@@ -6,12 +6,12 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.documents import UnreadableRow
+from hyssopring.jobs.documents import MalformedRowError
 from hyssopring.jobs.row_keys import (
-    AGENTS,
+    AGENTS_TABLE,
     CANCEL_SUFFIX,
-    DONE,
-    JOBS,
+    PROGRESS_TABLE,
+    JOBS_TABLE,
     is_job_key,
     owner_key,
     part_of,
@@ -25,7 +25,7 @@
     StoreRefused,
     StoreUncertain,
 )
-from hyssopring.jobs.store_time import StoreTime
+from hyssopring.jobs.store_clock import StoreClock
 from hyssopring.logs import Event, log_event
 
 __all__ = ('ShardReader', 'ShardRows')
@@ -40,22 +40,22 @@
     version: int
     is_dropped: bool
 
-    def listed(self, agents: list[Row]) -> None:
+    def on_agent_rows(self, agents: list[Row]) -> None:
         """All rows of agents; the others are still to be read."""
 
-    def loaded(self, jobs: list[Row], ends: list[Row]) -> None:
+    def on_job_rows(self, jobs: list[Row], ends: list[Row]) -> None:
         """All rows of jobs and of their ends."""
 
     def is_known(self, job_id: str) -> bool:
         """Whether a job is known already."""
 
-    def found(self, row: Row) -> None:
+    def on_job_row_found(self, row: Row) -> None:
         """A job that nobody has told of."""
 
-    def deposed(self) -> None:
+    def on_ownership_lost(self) -> None:
         """Another owner has the shard."""
 
-    def confirmed(self, sent_at: float) -> None:
+    def on_ownership_confirmed(self, sent_at: float) -> None:
         """A reading that was sent then shows that the shard is still owned."""
 
     def cancel(self, job_id: str) -> None:
@@ -77,7 +77,7 @@
         rows: ShardRows,
     ) -> None:
         """Hand what is read to ``rows``."""
-        self.store_time = StoreTime(clock)
+        self.store_time = StoreClock(clock)
         self._reactor = reactor
         self._clock = clock
         self._store = store
@@ -98,7 +98,7 @@
             return
         self._is_polling = True
         sent_at = self._clock.now()
-        asked = self._store.changes(JOBS, self._seen_version, 0)
+        asked = self._store.changes(JOBS_TABLE, self._seen_version, 0)
         asked.addCallbacks(
             self._changed,
             self._poll_failed,
@@ -108,15 +108,15 @@
 
     @inlineCallbacks
     def _load(self) -> Any:
-        agents = yield self._read_part(AGENTS, self._part)
-        self._rows.listed(agents)
-        jobs = yield self._read_part(JOBS, self._part)
-        ends = yield self._read_part(DONE, self._part)
+        agents = yield self._read_part(AGENTS_TABLE, self._part)
+        self._rows.on_agent_rows(agents)
+        jobs = yield self._read_part(JOBS_TABLE, self._part)
+        ends = yield self._read_part(PROGRESS_TABLE, self._part)
         is_owner = yield self._is_owner()
         if is_owner:
             # Changes from here on are read by polls.
             self._seen_version = self._read_version
-            self._rows.loaded(jobs, ends)
+            self._rows.on_job_rows(jobs, ends)
             self._take_cancellations(jobs)
 
     @inlineCallbacks
@@ -134,9 +134,9 @@
         if self._rows.is_dropped:
             return False
         if row is not None and row.version == self._rows.version:
-            self._rows.confirmed(sent_at)
+            self._rows.on_ownership_confirmed(sent_at)
             return True
-        self._rows.deposed()
+        self._rows.on_ownership_lost()
         return False
 
     @inlineCallbacks
@@ -146,16 +146,16 @@
         while True:
             sent_at = self._clock.now()
             page: Page = yield self._store.read(table, part, first)
-            self.store_time.take(page.read_ms, sent_at)
-            if table == JOBS and not first:
+            self.store_time.update(page.read_ms, sent_at)
+            if table == JOBS_TABLE and not first:
                 self._read_version = page.version
             rows.extend(page.rows)
             if not page.has_more:
                 return rows
-            first = f'{page.rows[-1].place.key}\0'
+            first = f'{page.rows[-1].row_key.key}\0'
 
     def _load_failed(self, failure: TwistedFailure) -> None:
-        failure.trap(StoreRefused, StoreUncertain, UnreadableRow)
+        failure.trap(StoreRefused, StoreUncertain, MalformedRowError)
         log_event(
             Event.STORE_UNREACHABLE,
             doing='load',
@@ -167,7 +167,7 @@
 
     @inlineCallbacks
     def _changed(self, changes: Changes, sent_at: float) -> Any:
-        self.store_time.take(changes.read_ms, sent_at)
+        self.store_time.update(changes.read_ms, sent_at)
         rows = [row for row in changes.rows if not row.is_removed]
         yield self._take(rows, changes.version)
         self._is_polling = False
@@ -176,14 +176,14 @@
     def _reread(self) -> Any:
         """Read all jobs anew, as the history of changes is gone."""
         self._is_polling = True
-        rows: list[Row] = yield self._read_part(JOBS, self._part)
+        rows: list[Row] = yield self._read_part(JOBS_TABLE, self._part)
         yield self._take(rows, self._read_version)
         self._is_polling = False
 
     @inlineCallbacks
     def _take(self, rows: list[Row], version: int) -> Any:
         """Take jobs and cancellations that were read at a version."""
-        own = [row for row in rows if row.place.part == self._part]
+        own = [row for row in rows if row.row_key.part == self._part]
         new = [row for row in own if self._is_new(row)]
         is_owner = yield self._is_owner()
         if not is_owner or self._rows.is_dropped:
@@ -191,18 +191,18 @@
         # Not before: what a failed call kept from being taken is read again.
         self._seen_version = max(self._seen_version, version)
         for row in new:
-            self._rows.found(row)
+            self._rows.on_job_row_found(row)
         self._take_cancellations(own)
 
     def _is_new(self, row: Row) -> bool:
         """Whether a row is a job that is not known."""
-        key = row.place.key
+        key = row.row_key.key
         return is_job_key(key) and not self._rows.is_known(key)
 
     def _take_cancellations(self, rows: list[Row]) -> None:
         for row in rows:
-            if row.place.key.endswith(CANCEL_SUFFIX):
-                self._rows.cancel(row.place.key.removesuffix(CANCEL_SUFFIX))
+            if row.row_key.key.endswith(CANCEL_SUFFIX):
+                self._rows.cancel(row.row_key.key.removesuffix(CANCEL_SUFFIX))
 
     def _poll_failed(self, failure: TwistedFailure) -> None:
         self._is_polling = False
@@ -210,7 +210,7 @@
             StoreRefused,
             StoreUncertain,
             HistoryLost,
-            UnreadableRow,
+            MalformedRowError,
         )
         if reason is HistoryLost:
             self._reread().addErrback(self._poll_failed)
--- a/hyssopring/jobs/shared_configuration.py
+++ b/hyssopring/jobs/shared_configuration.py
@@ -15,7 +15,7 @@
     WHOLE,
     ConfigurationNotice,
     ConfigurationPart,
-    ConfigurationQuestion,
+    ConfigurationRequest,
     ConfigurationText,
 )
 from hyssopring.jobs.messages import JobsMessage
@@ -24,7 +24,7 @@
     GatheredParts,
     PackedConfiguration,
     StoredConfiguration,
-    UnreadableParts,
+    MalformedPartsError,
 )
 from hyssopring.logs import Event, log_event
 
@@ -95,7 +95,7 @@
     @take.register
     def _take_question(
         self,
-        message: ConfigurationQuestion,
+        message: ConfigurationRequest,
         entry_id: str,
     ) -> None:
         if self._version < message.version:
@@ -117,7 +117,7 @@
             return
         try:
             self._gather(message)
-        except UnreadableParts as error:
+        except MalformedPartsError as error:
             log_event(Event.PEER_ERROR, peer=entry_id, detail=str(error))
             self._ask_next()
 
@@ -130,7 +130,7 @@
             self._gathered = gathered
         elif message.part != gathered.next_number:
             return
-        gathered.take(message)
+        gathered.add(message)
         if not gathered.is_whole:
             self._ask(gathered.version, gathered.next_number)
             return
@@ -155,7 +155,7 @@
         self._ask(self._wanted, 0)
 
     def _ask(self, version: int, part: int) -> None:
-        self._send(self._asked, ConfigurationQuestion(version, part))
+        self._send(self._asked, ConfigurationRequest(version, part))
         self._wait(_SILENT_HOLDER_S)
 
     def _wait(self, seconds: float) -> None:
--- a/hyssopring/jobs/stalls.py
+++ b/hyssopring/jobs/stall_detector.py
@@ -4,7 +4,7 @@
 
 from hyssopring.clock import Clock
 
-__all__ = ('StallWatch',)
+__all__ = ('StallDetector',)
 
 # Turns come at least five times a second. One that comes this late means that
 # the process was stopped or has more to do than it can: what others have sent
@@ -17,7 +17,7 @@
 _LONGEST_MS: Final = 3000.0
 
 
-class StallWatch:
+class StallDetector:
     """Notices late turns of a regular call.
 
     A process that was behind took its agents for silent, dropped their
@@ -32,7 +32,7 @@
         self._blind_since: float | None = None
         self._turns_left = 0
 
-    def has_kept_up(self) -> bool:
+    def record_tick(self) -> bool:
         """Note a turn; False if silence says nothing about others now."""
         now = self._clock.now()
         is_late = now - self._turned_at > _LATE_MS
--- a/hyssopring/jobs/stopping.py
+++ b/hyssopring/jobs/stop_marks.py
@@ -1,12 +1,12 @@
 """Marks attempts that an owner wants stopped, with a line for the reason."""
 
-from hyssopring.jobs.fleet import Placed, Worker
+from hyssopring.jobs.fleet import PlacedAttempt, Worker
 from hyssopring.logs import Event, log_event
 
 __all__ = ('mark_stopping',)
 
 
-def mark_stopping(placed: Placed, worker: Worker, why: str) -> None:
+def mark_stopping(placed: PlacedAttempt, worker: Worker, why: str) -> None:
     """Note that an attempt is to stop, and say why the first time."""
     if placed.is_stopping:
         return
--- a/hyssopring/jobs/store_time.py
+++ b/hyssopring/jobs/store_clock.py
@@ -5,12 +5,12 @@
 from hyssopring.clock import Clock
 from hyssopring.jobs.times import CLOCK_DRIFT
 
-__all__ = ('StoreTime',)
+__all__ = ('StoreClock',)
 
 _FASTEST: Final = 1 + CLOCK_DRIFT
 
 
-class StoreTime:
+class StoreClock:
     """Translates between the store's clock and this process's.
 
     An answer's reading was taken at some moment between the call and its
@@ -29,7 +29,7 @@
         """Whether a reading has come."""
         return self._reading_ms is not None
 
-    def take(self, reading_ms: float | None, sent_at: float) -> None:
+    def update(self, reading_ms: float | None, sent_at: float) -> None:
         """Take a reading that has arrived now; None if an answer had none."""
         if reading_ms is None:
             return
@@ -37,12 +37,12 @@
         self._sent_at = sent_at
         self._received_at = self._clock.now()
 
-    def latest(self, at: float) -> float:
+    def latest_reading(self, at: float) -> float:
         """Return a reading that the store's clock has not passed at ``at``."""
         assert self._reading_ms is not None, 'a reading is known'
         return self._reading_ms + max(0, at - self._sent_at) * _FASTEST
 
-    def reached(self, reading_ms: float) -> float:
+    def passed_at(self, reading_ms: float) -> float:
         """Return a time by which the store's clock has passed a reading."""
         assert self._reading_ms is not None, 'a reading is known'
         left_ms = max(0, reading_ms - self._reading_ms)
--- a/hyssopring/jobs/stored_configuration.py
+++ b/hyssopring/jobs/stored_configuration.py
@@ -16,7 +16,7 @@
     'GatheredParts',
     'PackedConfiguration',
     'StoredConfiguration',
-    'UnreadableParts',
+    'MalformedPartsError',
 )
 
 # One part takes 0.06 s of a link of 5 Mbit/s, beside the store's own answer
@@ -27,7 +27,7 @@
 _MAX_PARTS: Final = _MAX_TEXT_BYTES // _PART_BYTES
 
 
-class UnreadableParts(Exception):
+class MalformedPartsError(Exception):
     """A peer's parts do not make a text."""
 
 
@@ -80,9 +80,9 @@
     """The parts of one version that have come from one holder."""
 
     def __init__(self, first: ConfigurationPart) -> None:
-        """Begin with any part of a version; raises ``UnreadableParts``."""
+        """Begin with any part of a version; raises ``MalformedPartsError``."""
         if not 0 < first.parts <= _MAX_PARTS:
-            raise UnreadableParts(f'{first.parts} parts')
+            raise MalformedPartsError(f'{first.parts} parts')
         self.version = first.version
         self._row_version = first.row_version
         self._count = first.parts
@@ -98,24 +98,24 @@
         """Whether all parts are here."""
         return self.next_number >= self._count
 
-    def take(self, part: ConfigurationPart) -> None:
+    def add(self, part: ConfigurationPart) -> None:
         """Take the next part; another one changes nothing."""
         if part.part != self.next_number or self.is_whole:
             return
         try:
             packed = base64.b64decode(part.packed, validate=True)
         except (binascii.Error, ValueError) as error:
-            raise UnreadableParts(str(error)) from error
+            raise MalformedPartsError(str(error)) from error
         self._parts.append(packed)
 
     def stored(self) -> StoredConfiguration:
-        """Unpack the whole; raises ``UnreadableParts``."""
+        """Unpack the whole; raises ``MalformedPartsError``."""
         unpacking = zlib.decompressobj()
         packed = b''.join(self._parts)
         try:
             text = unpacking.decompress(packed, _MAX_TEXT_BYTES).decode()
         except (zlib.error, UnicodeDecodeError) as error:
-            raise UnreadableParts(str(error)) from error
+            raise MalformedPartsError(str(error)) from error
         if not unpacking.eof:
-            raise UnreadableParts('the packed text is cut or too long')
+            raise MalformedPartsError('the packed text is cut or too long')
         return StoredConfiguration(text, self._row_version)
