--- a/hyssopring/jobs/takeover.py
+++ b/hyssopring/jobs/takeover.py
@@ -4,12 +4,12 @@
 from typing import Callable, Final
 
 from hyssopring.jobs.documents import (
-    FormerReign,
+    FormerOwnerProcess,
     OwnerRow,
     RosterRow,
-    WaitRow,
+    FormerOwnersRow,
 )
-from hyssopring.jobs.row_keys import owner_key, roster_key, wait_key
+from hyssopring.jobs.row_keys import owner_key, roster_key, former_owners_key
 from hyssopring.jobs.rows import Page, Row, RowCheck, RowPut, Transaction
 
 __all__ = ('Takeover',)
@@ -31,7 +31,7 @@
     shard: int
     version: int
     former: OwnerRow | None
-    earlier: tuple[FormerReign, ...]
+    earlier: tuple[FormerOwnerProcess, ...]
     roster: RosterRow
 
     @classmethod
@@ -42,13 +42,13 @@
         page: Page,
     ) -> 'Takeover':
         """Read the shard's rows beside its owner row."""
-        row_by_place = {row.place: row for row in page.rows}
-        wait = row_by_place.get(wait_key(shard))
+        row_by_place = {row.row_key: row for row in page.rows}
+        wait = row_by_place.get(former_owners_key(shard))
         return cls(
             shard,
             owner.version if owner else 0,
             OwnerRow.from_row(owner) if owner else None,
-            WaitRow.from_row(wait).reigns if wait else (),
+            FormerOwnersRow.from_row(wait).reigns if wait else (),
             RosterRow.from_row(row_by_place.get(roster_key(shard))),
         )
 
@@ -64,8 +64,8 @@
 
     def silent(
         self,
-        is_dead: Callable[[FormerReign], bool],
-    ) -> FormerReign | None:
+        is_dead: Callable[[FormerOwnerProcess], bool],
+    ) -> FormerOwnerProcess | None:
         """Return the former owner if it may still order.
 
         It orders nothing more once it has given the shard up, or another
@@ -75,13 +75,15 @@
         former = self.former
         if former is None or not former.entry_id:
             return None
-        reign = FormerReign(former.entry_id, former.incarnation, self.version)
+        reign = FormerOwnerProcess(
+            former.entry_id, former.incarnation, self.version
+        )
         return None if is_dead(reign) else reign
 
     def in_doubt(
         self,
-        is_dead: Callable[[FormerReign], bool],
-    ) -> tuple[FormerReign, ...]:
+        is_dead: Callable[[FormerOwnerProcess], bool],
+    ) -> tuple[FormerOwnerProcess, ...]:
         """Return all former owners that may still order.
 
         Without the earlier ones the next owner would wait too little for one
@@ -94,7 +96,7 @@
     def transaction(
         self,
         owner: OwnerRow,
-        in_doubt: tuple[FormerReign, ...],
+        in_doubt: tuple[FormerOwnerProcess, ...],
     ) -> Transaction:
         """Return what takes the shard for an owner."""
         place = owner_key(self.shard)
@@ -104,9 +106,9 @@
         ]
         removals = []
         if in_doubt:
-            wait = WaitRow(in_doubt)
-            puts.append(RowPut(wait_key(self.shard), wait.to_text()))
+            wait = FormerOwnersRow(in_doubt)
+            puts.append(RowPut(former_owners_key(self.shard), wait.to_text()))
         else:
-            removals.append(wait_key(self.shard))
+            removals.append(former_owners_key(self.shard))
         check = RowCheck(place, self.version)
         return Transaction((check,), tuple(puts), tuple(removals))
--- a/hyssopring/jobs/advice.py
+++ b/hyssopring/jobs/ticket_manager.py
@@ -11,21 +11,21 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.advice_choice import Inquiry, Seat, whom_to_ask
-from hyssopring.jobs.advice_port import (
-    AdvicePort,
+from hyssopring.jobs.advice_client import (
+    AdviceClient,
     AdviceUnavailable,
-    Advised,
-    Question,
+    AdviceAnswer,
+    AdviceQuery,
 )
-from hyssopring.jobs.book import JobRecord, StepRun
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.model import Advice, TaskName
+from hyssopring.jobs.model import AdviceTiming, TaskName
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.tickets import StepTickets, Ticket
 from hyssopring.jobs.urgency import Urgency, urgency
 from hyssopring.logs import Event, log_event
 
-__all__ = ('AdviceDesk',)
+__all__ = ('TicketManager',)
 
 # A ticket is not used in its last part: its start is still to reach the
 # worker, and is repeated there until it is answered.
@@ -50,7 +50,7 @@
 _Order = tuple[int, int, Urgency]
 
 
-class AdviceDesk:
+class TicketManager:
     """Keeps tickets for the steps that need them.
 
     Attributes:
@@ -61,7 +61,7 @@
         self,
         reactor: Any,
         clock: Clock,
-        port: AdvicePort,
+        port: AdviceClient,
         fleet: Fleet,
         shards: OwnedShards,
         may_act: Callable[[], bool],
@@ -99,7 +99,7 @@
         tickets = self._tickets_by_step.get(_step_of(name))
         return tickets.lasting(self._clock.now()) if tickets else None
 
-    def rejected(self, name: TaskName, boot: str) -> None:
+    def record_rejection(self, name: TaskName, boot: str) -> None:
         """A worker has not taken the ticket that a start came with."""
         tickets = self._tickets_by_step.get(_step_of(name))
         if tickets is not None:
@@ -109,9 +109,9 @@
         """Look once for all that happens in this turn of the reactor."""
         if not self._is_look_due:
             self._is_look_due = True
-            self._reactor.callLater(0, self.look)
+            self._reactor.callLater(0, self.check)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Ask what is most urgent, unless a question is under way."""
         self._is_look_due = False
         records = [
@@ -143,7 +143,10 @@
                 self._tickets_by_step.pop(step)
 
     def _ask_first(self, records: list[JobRecord], now: float) -> None:
-        seats = [Seat.from_worker(worker) for worker in self._fleet.takers()]
+        seats = [
+            Seat.from_worker(worker)
+            for worker in self._fleet.schedulable_workers()
+        ]
         inquiries = [
             inquiry
             for record in records
@@ -201,7 +204,7 @@
     def _ask(self, inquiry: Inquiry, boots: tuple[str, ...]) -> None:
         self._is_asking = True
         expected_ms = inquiry.advice.question_ms(len(boots))
-        question = Question(inquiry.name, boots, expected_ms)
+        question = AdviceQuery(inquiry.name, boots, expected_ms)
         asking = self._port.ask(question)
         sent_at = self._clock.now()
         asking.addCallbacks(
@@ -213,8 +216,8 @@
 
     def _answered(
         self,
-        advised: Advised,
-        question: Question,
+        advised: AdviceAnswer,
+        question: AdviceQuery,
         inquiry: Inquiry,
         sent_at: float,
     ) -> None:
@@ -244,9 +247,9 @@
 
     def _good_until(
         self,
-        advised: Advised,
-        advice: Advice,
-        question: Question,
+        advised: AdviceAnswer,
+        advice: AdviceTiming,
+        question: AdviceQuery,
         sent_at: float,
     ) -> float:
         """Count from the sending: an answer may have been under way for long.
@@ -265,7 +268,7 @@
     def _unanswered(
         self,
         failure: TwistedFailure,
-        question: Question,
+        question: AdviceQuery,
         inquiry: Inquiry,
     ) -> None:
         failure.trap(AdviceUnavailable)
--- a/hyssopring/jobs/times.py
+++ b/hyssopring/jobs/times.py
@@ -3,17 +3,17 @@
 from typing import Final
 
 __all__ = (
-    'AUTHORITY_MS',
+    'OWNER_LEASE_MS',
     'CLOCK_DRIFT',
     'ENTRY_SILENT_MS',
     'GRANT_MS',
     'HOLD_MS',
-    'LAPSED_MS',
+    'HOLD_EXPIRY_MS',
     'LONGEST_HOLD_MS',
-    'LOST_AFTER_MS',
+    'GRANT_EXPIRY_MS',
     'RENEW_MS',
     'REPORT_MS',
-    'ROOM_MS',
+    'CAPACITY_TTL_MS',
     'ROSTER_WAIT_MS',
 )
 
@@ -27,7 +27,7 @@
 # How long an owner goes on without the store. Longer than the outages seen
 # (up to 9 s): starts go on meanwhile. A successor that reaches all agents
 # need not wait for it, as these refuse the older reign at once.
-AUTHORITY_MS: Final = 10_000.0
+OWNER_LEASE_MS: Final = 10_000.0
 
 # An agent that hears no owner keeps tasks alive this long after its report.
 # A dead VM's tasks start elsewhere after it, so that it is as short as a
@@ -43,18 +43,18 @@
 LONGEST_HOLD_MS: Final = 10_000.0
 
 # A worker that no agent has reached for this long has nothing running.
-LAPSED_MS: Final = HOLD_MS * (1 + CLOCK_DRIFT) + 200.0
+HOLD_EXPIRY_MS: Final = HOLD_MS * (1 + CLOCK_DRIFT) + 200.0
 
 # A worker announces its room each 1.5 s. One that was announced longer ago may
 # have shrunk, and counts as none.
-ROOM_MS: Final = 4000.0
+CAPACITY_TTL_MS: Final = 4000.0
 
 # An agent reports this often, and at once when something changes.
 REPORT_MS: Final = 500.0
 
 # After this time without a grant an agent's tasks surely do not run.
-LOST_AFTER_MS: Final = GRANT_MS * (1 + CLOCK_DRIFT) + 200.0
+GRANT_EXPIRY_MS: Final = GRANT_MS * (1 + CLOCK_DRIFT) + 200.0
 
 # A new owner starts what may still run on an agent that it cannot reach
 # only when neither the agent nor the former owner can have a right left.
-ROSTER_WAIT_MS: Final = AUTHORITY_MS + LOST_AFTER_MS
+ROSTER_WAIT_MS: Final = OWNER_LEASE_MS + GRANT_EXPIRY_MS
--- a/hyssopring/jobs/urgency.py
+++ b/hyssopring/jobs/urgency.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from hyssopring.jobs.book import JobRecord, StepRun
+from hyssopring.jobs.job_record import JobRecord, StepRun
 
 __all__ = ('Urgency', 'urgency')
 
@@ -45,7 +45,9 @@
         return Urgency(_KEEPERS, 0, record.accepted_ms)
     priority = record.job.queue.priority
     deadline = record.deadline(run.occurrence)
-    latest_start = deadline - record.job.tails[run.number]
+    latest_start = (
+        deadline - record.job.critical_path_ms_by_step[run.step_index]
+    )
     if wall_ms <= latest_start:
         return Urgency(priority, 0, record.work_left())
     begun = max(
@@ -53,5 +55,8 @@
         record.job.schedule.due_ms(run.occurrence),
     )
     allowed = _LATEST * (deadline - begun)
-    is_over = wall_ms + record.job.tails[run.number] > begun + allowed
+    is_over = (
+        wall_ms + record.job.critical_path_ms_by_step[run.step_index]
+        > begun + allowed
+    )
     return Urgency(priority, 2 if is_over else 1, record.work_left())
--- a/hyssopring/jobs/worker_deaths.py
+++ b/hyssopring/jobs/worker_crashes.py
@@ -8,7 +8,7 @@
 from hyssopring.jobs.fleet import Fleet, Worker
 from hyssopring.jobs.messages import WorkerReport
 
-__all__ = ('WorkerDeaths',)
+__all__ = ('WorkerCrashes',)
 
 # Deaths this close to each other may have one cause. An agent reports each
 # half second, and its worker is looked at as often.
@@ -37,7 +37,7 @@
     is_explained: bool
 
 
-class WorkerDeaths:
+class WorkerCrashes:
     """Tells deaths that come alone from those of many workers at once."""
 
     def __init__(self, clock: Clock, fleet: Fleet) -> None:
@@ -46,7 +46,7 @@
         self._fleet = fleet
         self._deaths: deque[_Death] = deque(maxlen=_KEPT)
 
-    def take(
+    def record_report(
         self,
         worker: Worker,
         report: WorkerReport,
--- a/hyssopring/jobs/watch.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -7,16 +7,16 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.announced import AnnouncedState
+from hyssopring.jobs.announced_state import AnnouncedState
 from hyssopring.jobs.fences import FenceCounter
-from hyssopring.jobs.look_retries import ANSWER_MS, LookRetries
-from hyssopring.jobs.stalls import StallWatch
+from hyssopring.jobs.poll_backoff import ANSWER_MS, PollBackoff
+from hyssopring.jobs.stall_detector import StallDetector
 from hyssopring.jobs.times import CLOCK_DRIFT, HOLD_MS, LONGEST_HOLD_MS
-from hyssopring.jobs.worker_lives import PastLife
+from hyssopring.jobs.past_incarnation import PastIncarnation
 from hyssopring.jobs.worker_port import (
     Announcement,
     Listing,
-    Look,
+    PollRequest,
     WorkerFenced,
     WorkerPort,
     WorkerReplaced,
@@ -24,7 +24,7 @@
 )
 from hyssopring.logs import Event, log_event
 
-__all__ = ('WorkerWatch',)
+__all__ = ('WorkerMonitor',)
 
 # How long an answer waits for an end: the figures of tail latency are for
 # half a second, and are read as often.
@@ -43,7 +43,7 @@
 _PAST_BOOTS: Final = 16
 
 
-class WorkerWatch:
+class WorkerMonitor:
     """Keeps the newest boot of a worker in sight.
 
     Attributes:
@@ -76,7 +76,7 @@
         self.announced = AnnouncedState(clock)
         self._candidate: Announcement | None = None
         self._candidate_at = clock.now()
-        self.past: PastLife | None = None
+        self.past: PastIncarnation | None = None
         self._past_boots: deque[str] = deque(maxlen=_PAST_BOOTS)
         self._clock_base = float()
         self._held_until = clock.now()
@@ -84,10 +84,10 @@
         # to the former incarnation, may hold the tasks.
         self._inherited_until = clock.now()
         self._has_lapsed = False
-        self._stalls = StallWatch(clock)
+        self._stalls = StallDetector(clock)
         # The look under way; an answer to any other one comes too late.
-        self._pending: Look | None = None
-        self._retries = LookRetries()
+        self._pending: PollRequest | None = None
+        self._retries = PollBackoff()
         self._oldest_listed: float = math.inf
         self._heard_at = clock.now()
         self._failing_since: float | None = None
@@ -121,7 +121,7 @@
         if announced.boot in self._past_boots:
             return
         if announced.boot == self.boot:
-            if self.announced.take(announced):
+            if self.announced.update(announced):
                 self.on_room()
             return
         # A report may have been held up and speak of a life that is over:
@@ -134,7 +134,7 @@
             # the former one, and the look under way may get no answer.
             self._pending = None
             self._retries.answered()
-        self.look()
+        self.poll()
 
     def withdraw(self, boot: str) -> None:
         """The worker says that this boot ends."""
@@ -163,7 +163,7 @@
         self._held_until = max(self._held_until, until)
         return until
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Ask for the lists, unless that is under way."""
         if self._pending is not None:
             return
@@ -176,7 +176,7 @@
     def check(self) -> None:
         """Notice a worker that is silent past its hold; call regularly."""
         # After a freeze an answer may lie unread: then silence says nothing.
-        has_kept_up = self._stalls.has_kept_up()
+        has_kept_up = self._stalls.record_tick()
         if not self.boot or self._has_lapsed or not has_kept_up:
             return
         held_until = max(self._held_until, self._inherited_until)
@@ -203,7 +203,7 @@
         is_listed = self._oldest_listed <= recorded
         wait_ms = 0 if is_listed else _WAIT_MS
         self._send(
-            Look(
+            PollRequest(
                 self.boot,
                 self.fences.current,
                 recorded if is_listed else 0,
@@ -221,17 +221,19 @@
         """Look, and only make void what was sent to incarnations before."""
         self.fences.advance()
         answer_ms = self._retries.answer_ms
-        self._send(Look(boot, self.fences.current, 0, None, 0, answer_ms))
+        self._send(
+            PollRequest(boot, self.fences.current, 0, None, 0, answer_ms)
+        )
 
     def _extension(self) -> int | None:
         """Until when a look extends the hold, None if there is no right."""
         until = self.hold_until()
         return self.worker_time(until) if until > self._clock.now() else None
 
-    def _send(self, look: Look) -> None:
+    def _send(self, look: PollRequest) -> None:
         self._pending = look
         sent_at = self._clock.now()
-        asked = self._port.look(look)
+        asked = self._port.poll(look)
         asked.addCallbacks(
             self._listed,
             self._failed,
@@ -240,7 +242,9 @@
         )
         asked.addErrback(self._broken)
 
-    def _listed(self, listing: Listing, look: Look, sent_at: float) -> None:
+    def _listed(
+        self, listing: Listing, look: PollRequest, sent_at: float
+    ) -> None:
         if look is not self._pending:
             return
         self._pending = None
@@ -259,7 +263,7 @@
         pause = _UNRECORDED_PAUSE_MS if self.has_unrecorded() else 0
         self._later(pause)
 
-    def _failed(self, failure: TwistedFailure, look: Look) -> None:
+    def _failed(self, failure: TwistedFailure, look: PollRequest) -> None:
         failure.trap(WorkerReplaced, WorkerUnreachable)
         if look is not self._pending:
             return
@@ -272,7 +276,7 @@
         else:
             self._look_failed()
 
-    def _met_another(self, look: Look) -> None:
+    def _met_another(self, look: PollRequest) -> None:
         """Another incarnation has answered a look."""
         if look.boot != self.boot:
             self._candidate = None
@@ -296,7 +300,7 @@
         self._later(_RETRY_MS)
 
     def _later(self, pause_ms: float) -> None:
-        self._reactor.callLater(pause_ms / MILLIS_PER_SECOND, self.look)
+        self._reactor.callLater(pause_ms / MILLIS_PER_SECOND, self.poll)
 
     @property
     def _stray_hold_ms(self) -> float:
@@ -305,11 +309,11 @@
         may_stray = self._candidate.target in {'', self._target}
         return LONGEST_HOLD_MS if may_stray else 0
 
-    def _adopt(self, look: Look, listing: Listing) -> None:
+    def _adopt(self, look: PollRequest, listing: Listing) -> None:
         assert self._candidate is not None, 'only a candidate is adopted'
         if self.boot:
             self._past_boots.append(self.boot)
-            self.past = PastLife(
+            self.past = PastIncarnation(
                 self.boot,
                 self._heard_at,
                 self._failing_since,
@@ -337,8 +341,8 @@
 def _oldest_number(listing: Listing) -> float:
     """Return the lowest number of an end that is listed."""
     numbers = [end.number for end in listing.ends]
-    if listing.last_void:
-        numbers.append(listing.last_void)
+    if listing.last_unidentified_end:
+        numbers.append(listing.last_unidentified_end)
     return min(numbers, default=math.inf)
 
 
--- a/hyssopring/jobs/worker_port.py
+++ b/hyssopring/jobs/worker_port.py
@@ -10,8 +10,8 @@
     'Announcement',
     'EndRow',
     'Listing',
-    'Look',
-    'Start',
+    'PollRequest',
+    'StartRequest',
     'StartOutcome',
     'WorkerFenced',
     'WorkerPort',
@@ -75,27 +75,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class PollRequest:
     """A request for the worker's lists that also extends its hold.
 
     Attributes:
         fence: Orders with a lower one are void from now on.
-        recorded: Ends up to this number may be forgotten.
-        until_ms: On the worker's clock; None extends nothing.
+        acked_through: Ends up to this number may be forgotten.
+        hold_until_ms: On the worker's clock; None extends nothing.
         wait_ms: How long the answer may wait for an end.
-        answer_ms: Within this time the answer has to be whole.
+        timeout_ms: Within this time the answer has to be whole.
     """
 
     boot: str
     fence: int
-    recorded: int
-    until_ms: int | None
+    acked_through: int
+    hold_until_ms: int | None
     wait_ms: int
-    answer_ms: float
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartRequest:
     """An order to start one attempt; ``ticket`` is empty if it needs none."""
 
     boot: str
@@ -104,7 +104,7 @@
     attempt: int
     payload: str
     checkpoint: str
-    until_ms: int
+    hold_until_ms: int
     ticket: str = ''
 
 
@@ -135,9 +135,9 @@
     """All that runs on a worker, and the ends not yet forgotten.
 
     Attributes:
-        is_whole: Whether each row was read: what is not listed is over.
-        last_void: The highest number of an end that names no task, 0 for
-            none; it is to be forgotten like a recorded one.
+        is_complete: Whether each row was read: what is not listed is over.
+        last_unidentified_end: The highest number of an end that names no
+            task, 0 for none; it is to be forgotten like a recorded one.
         boot: The one that answered, and has carried the look out; empty where
             it cannot be another one than was asked.
     """
@@ -145,8 +145,8 @@
     clock_ms: int
     rows: tuple[WorkerRow, ...]
     ends: tuple[EndRow, ...]
-    is_whole: bool = True
-    last_void: int = 0
+    is_complete: bool = True
+    last_unidentified_end: int = 0
     boot: str = ''
 
     def names(self, task: str, attempt: int) -> bool:
@@ -162,10 +162,10 @@
     They fail with ``WorkerUnreachable`` or ``WorkerReplaced``.
     """
 
-    def look(self, look: Look) -> Any:
+    def poll(self, look: PollRequest) -> Any:
         """Return a deferred ``Listing``."""
 
-    def start(self, start: Start) -> Any:
+    def start(self, start: StartRequest) -> Any:
         """Return a deferred ``StartOutcome``."""
 
     def stop(self, boot: str, fence: int, task: str, attempt: int) -> Any:
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -5,9 +5,9 @@
 
 from hyssopring.jobs.messages import AttemptReport, WorkerReport
 from hyssopring.jobs.model import Size, Step, TaskName
-from hyssopring.jobs.times import LAPSED_MS, LOST_AFTER_MS
+from hyssopring.jobs.times import HOLD_EXPIRY_MS, GRANT_EXPIRY_MS
 
-__all__ = ('Placed', 'Worker')
+__all__ = ('PlacedAttempt', 'Worker')
 
 # A worker that has not answered its agent for this long gets no new tasks.
 _SILENT_MS: Final = 1500
@@ -22,23 +22,23 @@
 
 
 @dataclass(slots=True)
-class Placed:
+class PlacedAttempt:
     """An attempt that was ordered, and may run.
 
     Attributes:
-        order: The place of its order on the agent's connection; 0 when it
+        start_index: The place of its start on the agent's connection; 0 when it
             was sent on an earlier one.
         reports: How many reports have named it.
         slow_since: Since when its pace is low.
         seen_since: When a report named it first.
-        seen_ms: For how long from then on its worker has answered.
+        observed_ms: For how long from then on its worker has answered.
     """
 
     name: TaskName
     number: int
     step: Step
     boot: str
-    order: int
+    start_index: int
     placed_at: float
     checkpoint: str = ''
     percent: int = 0
@@ -48,10 +48,10 @@
     slow_since: float | None = None
     is_stopping: bool = False
     seen_since: float | None = None
-    seen_ms: float = 0
+    observed_ms: float = 0
 
     @property
-    def has_shown(self) -> bool:
+    def has_measured_usage(self) -> bool:
         """Whether what it does to tasks beside it may show in their figures.
 
         They are for half a second, and reported as often.
@@ -67,7 +67,7 @@
         time takes no more of them.
         """
         asked = self.step.size.cpu_millis * max(self.pace, 0) / _FULL_PACE
-        if self.has_shown:
+        if self.has_measured_usage:
             return max(self.load, _LEAST_USE * asked)
         return asked
 
@@ -75,7 +75,7 @@
     def cpu_at_full_pace(self) -> float:
         """Thousandths of a core that a filler would use at full pace."""
         asked = self.step.size.cpu_millis
-        if self.has_shown and self.pace >= _SLOW_PACE:
+        if self.has_measured_usage and self.pace >= _SLOW_PACE:
             return min(asked, self.cpu_in_use * _FULL_PACE / self.pace)
         return asked
 
@@ -83,7 +83,7 @@
         """For how long the attempt has been slowed down a lot."""
         return 0 if self.slow_since is None else now - self.slow_since
 
-    def take(self, told: AttemptReport, now: float, silent_ms: float) -> None:
+    def update(self, told: AttemptReport, now: float, silent_ms: float) -> None:
         """Take over what a report says of the attempt.
 
         Args:
@@ -92,7 +92,7 @@
         self.reports += 1
         if self.seen_since is None:
             self.seen_since = now
-        self.seen_ms = now - silent_ms - self.seen_since
+        self.observed_ms = now - silent_ms - self.seen_since
         if told.pace >= _SLOW_PACE:
             self.slow_since = None
         elif self.slow_since is None:
@@ -122,10 +122,10 @@
     reported_at: float = 0
     granted_at: float = 0
     connection: str = ''
-    orders: int = 0
+    starts_sent: int = 0
     refused_at: float | None = None
     disconnected_at: float = 0
-    placed_by_task: dict[str, Placed] = field(default_factory=dict)
+    placed_by_task: dict[str, PlacedAttempt] = field(default_factory=dict)
 
     @property
     def boot(self) -> str:
@@ -166,10 +166,10 @@
             report.foreign_accelerators,
         )
         for placed in self.placed_by_task.values():
-            used = used.plus(placed.step.charge)
+            used = used.plus(placed.step.reserved_size)
         return self.room.minus(used)
 
-    def fillers(self) -> list[Placed]:
+    def best_effort_tasks(self) -> list[PlacedAttempt]:
         """The fillers that were ordered there."""
         return [
             placed
@@ -177,7 +177,7 @@
             if placed.step.fills
         ]
 
-    def keepers(self) -> list[Placed]:
+    def latency_critical_tasks(self) -> list[PlacedAttempt]:
         """The keepers with a target that were ordered there."""
         return [
             placed
@@ -190,16 +190,16 @@
         placed = self.placed_by_task.values()
         return sum(each.step.is_keeper for each in placed), len(placed)
 
-    def has_taken(self, placed: Placed, report: WorkerReport) -> bool:
+    def has_received(self, placed: PlacedAttempt, report: WorkerReport) -> bool:
         """Whether the agent had taken an attempt's order when it reported.
 
         An order that it had not taken may still come. A report counts the
         orders of one connection, and says nothing of another one's.
         """
         is_counted = report.connection == self.connection
-        return is_counted and placed.order <= report.orders
+        return is_counted and placed.start_index <= report.orders
 
-    def takes_tasks(self) -> bool:
+    def accepts_tasks(self) -> bool:
         """Whether a new task may be sent there now."""
         report = self.report
         if report is None or not report.boot or report.is_leaving:
@@ -208,7 +208,7 @@
 
     def is_lost(self, now: float) -> bool:
         """Whether nothing that was ordered there can run any more."""
-        return now - self.granted_at > LOST_AFTER_MS
+        return now - self.granted_at > GRANT_EXPIRY_MS
 
     @property
     def silent_since(self) -> float | None:
@@ -238,5 +238,5 @@
         report = self.report
         if not self.is_connected or report is None or self.placed_by_task:
             return False
-        unheld_ms = LAPSED_MS + _SILENT_MS
+        unheld_ms = HOLD_EXPIRY_MS + _SILENT_MS
         return not report.attempts and report.silent_ms >= unheld_ms
--- a/hyssopring/membership/__init__.py
+++ b/hyssopring/membership/__init__.py
@@ -3,7 +3,10 @@
 from hyssopring.membership.directory import EntryDirectory
 from hyssopring.membership.fleet import AgentRecord, BackendView, Fleet
 from hyssopring.membership.incarnations import IncarnationGuard
-from hyssopring.membership.pace import beat_interval, silence_limit
+from hyssopring.membership.heartbeat_timing import (
+    heartbeat_interval_ms,
+    silence_timeout_ms,
+)
 from hyssopring.membership.roster import EntryRoster
 
 __all__ = (
@@ -13,6 +16,6 @@
     'EntryRoster',
     'Fleet',
     'IncarnationGuard',
-    'beat_interval',
-    'silence_limit',
+    'heartbeat_interval_ms',
+    'silence_timeout_ms',
 )
--- a/hyssopring/membership/fleet.py
+++ b/hyssopring/membership/fleet.py
@@ -50,7 +50,7 @@
         generation: Counts connections; messages of older ones are foreign.
         sequence: Of the last heartbeat heard.
         is_suspect: It has not answered a ping in time.
-        beat_ms: How long it may leave between heartbeats.
+        heartbeat_interval_ms: How long it may leave between heartbeats.
         worker_boot: Empty while the agent's worker does not answer.
     """
 
@@ -63,7 +63,7 @@
     free: Resources
     configuration_version: int
     heard_at: float
-    beat_ms: float = 1000
+    heartbeat_interval_ms: float = 1000
     is_stopping: bool = False
     sequence: int = 0
     is_suspect: bool = False
--- a/hyssopring/membership/pace.py
+++ b/hyssopring/membership/heartbeat_timing.py
@@ -7,7 +7,7 @@
 
 from typing import Final
 
-__all__ = ('beat_interval', 'silence_limit')
+__all__ = ('heartbeat_interval_ms', 'silence_timeout_ms')
 
 _MIN_MS: Final = 1000.0
 _MAX_MS: Final = 5000.0
@@ -15,12 +15,12 @@
 _SILENT_BEATS: Final = 2.5
 
 
-def beat_interval(agents: int) -> float:
+def heartbeat_interval_ms(agents: int) -> float:
     """Return the milliseconds between heartbeats of each of the agents."""
     return min(max(_MIN_MS * agents / _BEATS_PER_S, _MIN_MS), _MAX_MS)
 
 
-def silence_limit(interval_ms: float) -> float:
+def silence_timeout_ms(interval_ms: float) -> float:
     """Return after how long with nothing heard a connection is silent.
 
     A peer that lost track of the connection answers nothing for good, so it
--- a/hyssopring/placement/assigner.py
+++ b/hyssopring/placement/assigner.py
@@ -7,21 +7,24 @@
 from hyssopring.agent.making_room import URGENT
 from hyssopring.configuration import ServicePolicy
 from hyssopring.logs import Event, log_event
-from hyssopring.placement.choice import (
+from hyssopring.placement.worker_ranking import (
     Candidate,
     Placement,
     WorkerRanking,
-    why_impossible,
+    infeasibility_reason,
+)
+from hyssopring.placement.interference import (
+    InterferenceTracker,
+    TemplateSlowdown,
 )
-from hyssopring.placement.interference import Interference, TemplateHarm
 from hyssopring.placement.preemption import place_by_making_room
-from hyssopring.placement.quotas import TeamUse
+from hyssopring.placement.quotas import TeamUsage
 from hyssopring.placement.records import TaskState
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.shard_plan import ShardPlan
 from hyssopring.placement.sizes import LearnedSizes
 from hyssopring.placement.task_index import PlannedTask
-from hyssopring.placement.underway import StartsUnderWay
+from hyssopring.placement.pending_starts import PendingStarts
 from hyssopring.protocol.messages import Resources
 from hyssopring.tasks import TaskKind
 
@@ -50,7 +53,7 @@
 
     now: float
     candidate_by_agent: dict[str, Candidate]
-    team_use: TeamUse
+    team_use: TeamUsage
     placed: int = 0
 
 
@@ -60,14 +63,14 @@
     def __init__(
         self,
         ports: PlannerPorts,
-        interference: Interference,
+        interference: InterferenceTracker,
         sizes: LearnedSizes,
     ) -> None:
         """Use the fleet, the configuration and what was learned of both."""
         self._ports = ports
         self._interference = interference
         self._sizes = sizes
-        self._under_way = StartsUnderWay(ports.fleet)
+        self._under_way = PendingStarts(ports.fleet)
         self._idle_until: float = 0
         self._idle_waiting = 0
 
@@ -89,7 +92,7 @@
         agents = self._ports.fleet.agents
         promised_by_agent = self._under_way.promised(now)
         health = self._ports.health
-        team_use = TeamUse(self._ports.configuration, agents)
+        team_use = TeamUsage(self._ports.configuration, agents)
         for start in self._under_way.starts:
             team_use.add(start.team, start.size.cores)
         candidate_by_agent = {
@@ -158,31 +161,31 @@
 
     def _impossible(self, group: _Group) -> str:
         agents = self._ports.fleet.agents
-        why = why_impossible(group.policy, group.size, agents)
+        why = infeasibility_reason(group.policy, group.size, agents)
         if why and group.size != group.policy.size:
             # What was learned must not make a task impossible.
             group.size = group.policy.size
-            why = why_impossible(group.policy, group.size, agents)
+            why = infeasibility_reason(group.policy, group.size, agents)
         return why
 
-    def _harm(self, group: _Group, placing: _Round) -> TemplateHarm:
+    def _harm(self, group: _Group, placing: _Round) -> TemplateSlowdown:
         """Keepers, urgent tasks and a template's only task are not held up.
 
         The last: a template that hurts a service everywhere would otherwise
         never run at all. One task of it does, where it hurts least.
         """
         service_name = group.policy.service_name
-        harm = self._interference.harm_of(service_name, placing.now)
+        harm = self._interference.template_slowdown(service_name, placing.now)
         is_held_up = not (
             group.is_keeper or group.policy.urgency >= URGENT
         ) and self._interference.is_running(harm.template, placing.now)
-        return harm if is_held_up else harm.without_limit()
+        return harm if is_held_up else harm.unlimited()
 
     def _rank(
         self,
         group: _Group,
         placing: _Round,
-        harm: TemplateHarm,
+        harm: TemplateSlowdown,
     ) -> WorkerRanking:
         zones = group.policy.zones
         return WorkerRanking(
--- a/hyssopring/placement/journal.py
+++ b/hyssopring/placement/chunk_writer.py
@@ -23,14 +23,14 @@
     Transaction,
 )
 
-__all__ = ('Journal',)
+__all__ = ('ChunkWriter',)
 
 _MAX_CHUNKS = 64
 
 _Action = Callable[[], None]
 
 
-class Journal:
+class ChunkWriter:
     """Keeps one shard's chunks in step with the table."""
 
     def __init__(
--- a/hyssopring/placement/interference.py
+++ b/hyssopring/placement/interference.py
@@ -17,9 +17,9 @@
 
 __all__ = (
     'TAIL_LIMIT',
-    'Beside',
-    'Interference',
-    'TemplateHarm',
+    'ColocatedLoad',
+    'InterferenceTracker',
+    'TemplateSlowdown',
     'batch_templates',
     'template_of',
 )
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Beside:
+class ColocatedLoad:
     """What shares one VM.
 
     Attributes:
@@ -89,20 +89,20 @@
     }
 
 
-class Interference:
+class InterferenceTracker:
     """Learns from heartbeats and answers for placements."""
 
     def __init__(self, model: SlowdownModel | None = None) -> None:
         """Start with an unlearned model unless one is given."""
         self.model = model or SlowdownModel()
-        self._beside_by_agent: dict[str, Beside] = {}
+        self._beside_by_agent: dict[str, ColocatedLoad] = {}
         self._use_by_template: dict[str, float] = {}
         self._learned_at: float = 0
         self._allowance = _MAX_ALLOWANCE
 
-    def beside(self, agent_id: str) -> Beside:
+    def colocated_load(self, agent_id: str) -> ColocatedLoad:
         """Return what shares an agent's VM."""
-        return self._beside_by_agent.setdefault(agent_id, Beside())
+        return self._beside_by_agent.setdefault(agent_id, ColocatedLoad())
 
     def forget(self, agent_id: str) -> None:
         """An agent has gone."""
@@ -110,7 +110,7 @@
 
     def on_heartbeat(self, record: AgentRecord, now: float) -> None:
         """Learn from an agent's latest report."""
-        beside = self.beside(record.agent_id)
+        beside = self.colocated_load(record.agent_id)
         beside.planned = [one for one in beside.planned if one.until > now]
         _smooth(beside.past_by_template, self._take_usage(record, beside))
         for view in record.backend_by_id.values():
@@ -130,7 +130,7 @@
     def _take_usage(
         self,
         record: AgentRecord,
-        beside: Beside,
+        beside: ColocatedLoad,
     ) -> dict[str, float]:
         """Keep what tasks may use; return what was measured of them."""
         cores = max(record.capacity.cores, 1)
@@ -180,17 +180,19 @@
             for beside in self._beside_by_agent.values()
         )
 
-    def harm_of(self, service_name: str, now: float) -> 'TemplateHarm':
+    def template_slowdown(
+        self, service_name: str, now: float
+    ) -> 'TemplateSlowdown':
         """Return what answers for the tasks of one template."""
-        return TemplateHarm(self, template_of(service_name), now)
+        return TemplateSlowdown(self, template_of(service_name), now)
 
 
-class TemplateHarm:
+class TemplateSlowdown:
     """What one more task of a template does on each worker."""
 
     def __init__(
         self,
-        interference: Interference,
+        interference: InterferenceTracker,
         template: str,
         now: float,
         limit: float = TAIL_LIMIT,
@@ -201,9 +203,9 @@
         self._limit = limit
         self.template = template
 
-    def without_limit(self) -> 'TemplateHarm':
+    def unlimited(self) -> 'TemplateSlowdown':
         """Return the same, which only ranks and refuses nothing."""
-        return TemplateHarm(
+        return TemplateSlowdown(
             self._interference,
             self.template,
             self._now,
@@ -212,7 +214,7 @@
 
     def predict(self, agent: AgentRecord, size: Resources) -> float | None:
         """Return the expected growth of log(tail), None if over the limit."""
-        beside = self._interference.beside(agent.agent_id)
+        beside = self._interference.colocated_load(agent.agent_id)
         parts = beside.expected(self._now)
         part = self._part(agent, size)
         parts[self.template] = parts.get(self.template, 0) + part
@@ -232,7 +234,7 @@
     def take(self, agent: AgentRecord, size: Resources) -> None:
         """Count a task that is about to start there."""
         part = self._part(agent, size)
-        self._interference.beside(agent.agent_id).planned.append(
+        self._interference.colocated_load(agent.agent_id).planned.append(
             _Planned(self.template, part, self._now + _PLANNED_MS),
         )
 
--- a/hyssopring/placement/relief.py
+++ b/hyssopring/placement/mitigation.py
@@ -10,14 +10,14 @@
 
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord
-from hyssopring.placement.interference import Interference, template_of
+from hyssopring.placement.interference import InterferenceTracker, template_of
 from hyssopring.placement.records import TaskState
 from hyssopring.placement.task_index import PlannedTask
 from hyssopring.placement.share_control import ShareControl
 from hyssopring.placement.tail_guard import GuardStep, TailGuard
 from hyssopring.tasks import TaskKind
 
-__all__ = ('Relief',)
+__all__ = ('Mitigation',)
 
 _SAME_SHARE = 0.01
 # Memory cannot be throttled: a VM whose tasks use more than it has sheds one,
@@ -26,13 +26,13 @@
 _SHED_PAUSE_MS = 10_000.0
 
 
-class Relief:
+class Mitigation:
     """Acts on own tasks for the sake of the services beside them."""
 
-    def __init__(self, interference: Interference) -> None:
+    def __init__(self, interference: InterferenceTracker) -> None:
         """Decide by what ``interference`` has learned."""
-        self.guard = TailGuard(interference)
-        self.control = ShareControl(interference)
+        self.tail_guard = TailGuard(interference)
+        self.share_control = ShareControl(interference)
         self._shed_at_by_agent: dict[str, float] = {}
 
     def on_heartbeat(
@@ -49,8 +49,8 @@
                 when there is something to do.
             now: Clock milliseconds.
         """
-        self.control.review(record)
-        step = self.guard.review(record, now)
+        self.share_control.review(record)
+        step = self.tail_guard.review(record, now)
         is_overfull = self._is_overfull(record, now)
         if not (step or is_overfull or self._has_other_share(record)):
             return
@@ -70,8 +70,8 @@
 
     def forget(self, agent_id: str) -> None:
         """An agent has gone."""
-        self.guard.forget(agent_id)
-        self.control.forget(agent_id)
+        self.tail_guard.forget(agent_id)
+        self.share_control.forget(agent_id)
         self._shed_at_by_agent.pop(agent_id, None)
 
     def _has_other_share(self, record: AgentRecord) -> bool:
@@ -86,8 +86,8 @@
         """Return the smaller of the learned and the guard's share."""
         template = template_of(service_name)
         return min(
-            self.control.shares(record.agent_id).get(template, 1),
-            self.guard.shares(record.agent_id).get(template, 1),
+            self.share_control.shares(record.agent_id).get(template, 1),
+            self.tail_guard.shares(record.agent_id).get(template, 1),
         )
 
     def _throttle(
--- a/hyssopring/placement/underway.py
+++ b/hyssopring/placement/pending_starts.py
@@ -14,7 +14,7 @@
 from hyssopring.placement.task_index import PlannedTask
 from hyssopring.protocol.messages import Resources
 
-__all__ = ('StartsUnderWay',)
+__all__ = ('PendingStarts',)
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     confirmed_at: float | None = None
 
 
-class StartsUnderWay:
+class PendingStarts:
     """This entry's own starts, until reports show them."""
 
     def __init__(self, fleet: Fleet) -> None:
--- a/hyssopring/placement/planner.py
+++ b/hyssopring/placement/planner.py
@@ -10,14 +10,14 @@
 from hyssopring.leases import HeldShard, ShardHolder
 from hyssopring.membership import AgentRecord
 from hyssopring.placement.assigner import Assigner
-from hyssopring.placement.interference import Interference
-from hyssopring.placement.journal import Journal
+from hyssopring.placement.interference import InterferenceTracker
+from hyssopring.placement.chunk_writer import ChunkWriter
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import TaskState, chunk_prefix
-from hyssopring.placement.relief import Relief
+from hyssopring.placement.mitigation import Mitigation
 from hyssopring.placement.shard_plan import ShardPlan, keeper_job_id
 from hyssopring.placement.sizes import LearnedSizes
-from hyssopring.placement.task_evidence import GrantKey
+from hyssopring.placement.task_reconciler import GrantKey
 from hyssopring.placement.task_index import PlannedTask
 from hyssopring.protocol.messages import LeaseGrant, TaskReport
 from hyssopring.store import Row, Store
@@ -42,9 +42,9 @@
         """Take the ports; ``attach`` adds the shard holder."""
         self._store = store
         self._ports = ports
-        self._interference = Interference()
+        self._interference = InterferenceTracker()
         self._sizes = LearnedSizes()
-        self._relief = Relief(self._interference)
+        self._mitigation = Mitigation(self._interference)
         self._assigner = Assigner(ports, self._interference, self._sizes)
         self._plan_by_shard: dict[int, ShardPlan] = {}
         self._granted_at: dict[GrantKey, float] = {}
@@ -58,7 +58,7 @@
 
     def on_acquired(self, held: HeldShard) -> None:
         """Load a shard that this entry now holds."""
-        journal = Journal(
+        journal = ChunkWriter(
             self._store,
             held,
             partial(self._is_current, held),
@@ -74,7 +74,7 @@
         if plan is not None:
             plan.is_dropped = True
 
-    def grants(self, record: AgentRecord) -> tuple[LeaseGrant, ...]:
+    def grant_leases(self, record: AgentRecord) -> tuple[LeaseGrant, ...]:
         """Grant an agent the right to run tasks of the held shards.
 
         An agent whose worker does not answer gets none: nobody knows what
@@ -87,7 +87,7 @@
             return ()
         key = (record.agent_id, record.worker_boot)
         self._granted_at[key] = self._ports.clock.now()
-        times = self._ports.times
+        times = self._ports.lease_times
         return tuple(
             LeaseGrant(
                 shard.shard,
@@ -124,12 +124,12 @@
         now = self._ports.clock.now()
         self._sizes.observe(record.usage)
         self._interference.on_heartbeat(record, now)
-        self._relief.on_heartbeat(record, self._usable_tasks(), now)
+        self._mitigation.on_heartbeat(record, self._usable_tasks(), now)
 
     def on_disconnected(self, agent_id: str) -> None:
         """Forget what shared the VM of an agent that has gone."""
         self._interference.forget(agent_id)
-        self._relief.forget(agent_id)
+        self._mitigation.forget(agent_id)
 
     def on_report(self, record: AgentRecord, report: TaskReport) -> None:
         """Take an agent's report of its tasks."""
@@ -189,7 +189,7 @@
         for row in answer.unwrap():
             plan = self._usable(int(row.key.split('/')[1]))
             if plan is not None:
-                plan.take_inbox_row(row)
+                plan.handle_inbox_row(row)
 
     def _is_current(self, held: HeldShard) -> bool:
         return self._holder is not None and (
--- a/hyssopring/placement/ports.py
+++ b/hyssopring/placement/ports.py
@@ -22,5 +22,5 @@
     configuration: ConfigurationState
     links: Links
     metrics: Metrics
-    times: LeaseTimes
+    lease_times: LeaseTimes
     health: WorkerHealth = field(default_factory=WorkerHealth)
--- a/hyssopring/placement/preemption.py
+++ b/hyssopring/placement/preemption.py
@@ -4,7 +4,7 @@
 
 from hyssopring.agent.making_room import gives_way
 from hyssopring.configuration import ServicePolicy
-from hyssopring.placement.choice import Candidate, Placement
+from hyssopring.placement.worker_ranking import Candidate, Placement
 from hyssopring.protocol.messages import Resources
 
 __all__ = ('place_by_making_room',)
--- a/hyssopring/placement/quotas.py
+++ b/hyssopring/placement/quotas.py
@@ -10,10 +10,10 @@
 from hyssopring.configuration import ConfigurationState
 from hyssopring.membership import AgentRecord
 
-__all__ = ('TeamUse',)
+__all__ = ('TeamUsage',)
 
 
-class TeamUse:
+class TeamUsage:
     """Cores in use by team, for one round of placing."""
 
     def __init__(
--- a/hyssopring/placement/shard_plan.py
+++ b/hyssopring/placement/shard_plan.py
@@ -6,11 +6,11 @@
 from hyssopring.leases import HeldShard
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord
-from hyssopring.placement.journal import Journal
+from hyssopring.placement.chunk_writer import ChunkWriter
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import CHUNK_TASKS, Chunk, TaskRecord
 from hyssopring.placement.task_commands import TaskCommands
-from hyssopring.placement.task_evidence import GrantKey, TaskEvidence
+from hyssopring.placement.task_reconciler import GrantKey, TaskReconciler
 from hyssopring.placement.task_index import PlannedTask, TaskIndex
 from hyssopring.placement.task_states import TaskStates
 from hyssopring.placement.task_steps import TaskSteps
@@ -37,7 +37,7 @@
     def __init__(
         self,
         held: HeldShard,
-        journal: Journal,
+        journal: ChunkWriter,
         ports: PlannerPorts,
     ) -> None:
         """Start empty; ``load`` takes the table's rows."""
@@ -57,7 +57,7 @@
             self.index.wait,
         )
         self._steps = TaskSteps(held, journal, ports, self._states)
-        self._evidence = TaskEvidence(
+        self._evidence = TaskReconciler(
             held,
             journal,
             ports,
@@ -87,7 +87,7 @@
             self._evidence.progressed.clear()
         self._journal.flush()
 
-    def take_inbox_row(self, row: Row) -> None:
+    def handle_inbox_row(self, row: Row) -> None:
         """Accept or cancel a job; the row goes once that is written.
 
         Each inbox row has a key of its own and is read again until it is gone:
--- a/hyssopring/placement/share_control.py
+++ b/hyssopring/placement/share_control.py
@@ -12,8 +12,8 @@
 from hyssopring.membership import AgentRecord
 from hyssopring.placement.interference import (
     TAIL_LIMIT,
-    Beside,
-    Interference,
+    ColocatedLoad,
+    InterferenceTracker,
     batch_templates,
 )
 
@@ -28,7 +28,7 @@
 class ShareControl:
     """Shares by agent and template that keep the expected tails inside."""
 
-    def __init__(self, interference: Interference) -> None:
+    def __init__(self, interference: InterferenceTracker) -> None:
         """Use what ``interference`` has learned."""
         self._interference = interference
         self._shares_by_agent: dict[str, dict[str, float]] = {}
@@ -43,7 +43,7 @@
 
     def review(self, record: AgentRecord) -> None:
         """Set the shares that the latest report of load calls for."""
-        beside = self._interference.beside(record.agent_id)
+        beside = self._interference.colocated_load(record.agent_id)
         wanted: dict[str, float] = {}
         for service_name in beside.load_by_service:
             own = self._wanted(record, beside, service_name)
@@ -62,7 +62,7 @@
     def _wanted(
         self,
         record: AgentRecord,
-        beside: Beside,
+        beside: ColocatedLoad,
         service_name: str,
     ) -> dict[str, float]:
         """Throttle the most harmful template first, as little as suffices."""
--- a/hyssopring/placement/tail_guard.py
+++ b/hyssopring/placement/tail_guard.py
@@ -13,8 +13,8 @@
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord
 from hyssopring.placement.interference import (
-    Beside,
-    Interference,
+    ColocatedLoad,
+    InterferenceTracker,
     batch_templates,
 )
 
@@ -65,7 +65,7 @@
 class TailGuard:
     """Watches the tails that agents report and says what to do."""
 
-    def __init__(self, interference: Interference) -> None:
+    def __init__(self, interference: InterferenceTracker) -> None:
         """Use what ``interference`` has learned to find the culprit."""
         self._interference = interference
         self._watch_by_agent: dict[str, _Watch] = {}
@@ -82,7 +82,7 @@
     def review(self, record: AgentRecord, now: float) -> GuardStep | None:
         """Return the step that the latest report calls for, if any."""
         watch = self._watch_by_agent.setdefault(record.agent_id, _Watch())
-        beside = self._interference.beside(record.agent_id)
+        beside = self._interference.colocated_load(record.agent_id)
         _forget_absent(watch, beside)
         excess, service_name = self._worst(record, beside)
         if excess > RAISED:
@@ -100,7 +100,9 @@
             return self._tighten(record, watch, service_name, excess, now)
         return self._relax(record, watch, now)
 
-    def _worst(self, record: AgentRecord, beside: Beside) -> tuple[float, str]:
+    def _worst(
+        self, record: AgentRecord, beside: ColocatedLoad
+    ) -> tuple[float, str]:
         """Return the largest excess of log(tail) over its level."""
         worst: float = 0
         worst_service = ''
@@ -158,7 +160,7 @@
         service_name: str,
     ) -> dict[str, float]:
         """Return what each batch template may add to the service's tail."""
-        beside = self._interference.beside(record.agent_id)
+        beside = self._interference.colocated_load(record.agent_id)
         load = beside.load_by_service.get(service_name, 0)
         harm_by_template = {}
         for template in batch_templates(record):
@@ -200,7 +202,7 @@
         return GuardStep(template, share)
 
 
-def _forget_absent(watch: _Watch, beside: Beside) -> None:
+def _forget_absent(watch: _Watch, beside: ColocatedLoad) -> None:
     for template in list(watch.share_by_template):
         if template not in beside.past_by_template:
             watch.share_by_template.pop(template)
--- a/hyssopring/placement/task_evidence.py
+++ b/hyssopring/placement/task_reconciler.py
@@ -11,7 +11,7 @@
 from hyssopring.leases import HeldShard
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord
-from hyssopring.placement.journal import Journal
+from hyssopring.placement.chunk_writer import ChunkWriter
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import Chunk, TaskState
 from hyssopring.placement.task_commands import TaskCommands
@@ -20,7 +20,7 @@
 from hyssopring.protocol.messages import TaskReport, TaskStatus
 from hyssopring.tasks import FINAL_PHASES, TaskKind, TaskPhase
 
-__all__ = ('GrantKey', 'TaskEvidence')
+__all__ = ('GrantKey', 'TaskReconciler')
 
 # An agent and the boot of its worker that leases were granted for.
 GrantKey = tuple[str, str]
@@ -28,7 +28,7 @@
 _OVERRUN = 3
 
 
-class TaskEvidence:
+class TaskReconciler:
     """Takes agents' reports, and the lapse of leases, for one shard.
 
     Attributes:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         held: HeldShard,
-        journal: Journal,
+        journal: ChunkWriter,
         ports: PlannerPorts,
         commands: TaskCommands,
         states: TaskStates,
@@ -143,7 +143,7 @@
     def _has_lapsed(self, planned: PlannedTask, granted_at: float) -> bool:
         # An earlier planner may have granted until we took the shard.
         last = max(granted_at, self._held.acquired_at)
-        lapse_ms = self._ports.times.lapse_ms(planned.chunk.kind)
+        lapse_ms = self._ports.lease_times.lapse_ms(planned.chunk.kind)
         return self._ports.clock.now() > last + lapse_ms
 
     def _take_progress(self, planned: PlannedTask, status: TaskStatus) -> None:
--- a/hyssopring/placement/task_states.py
+++ b/hyssopring/placement/task_states.py
@@ -10,7 +10,7 @@
 from typing import Callable
 
 from hyssopring.logs import Event, log_event
-from hyssopring.placement.journal import Journal
+from hyssopring.placement.chunk_writer import ChunkWriter
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import TaskRecord, TaskState
 from hyssopring.placement.task_commands import TaskCommands
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        journal: Journal,
+        journal: ChunkWriter,
         ports: PlannerPorts,
         commands: TaskCommands,
         on_waiting: Callable[[str], None],
--- a/hyssopring/placement/task_steps.py
+++ b/hyssopring/placement/task_steps.py
@@ -1,7 +1,7 @@
 """The steps that a planner takes with a task by itself: assign and cancel.
 
 A task is assigned in the table before its start is sent, under the shard's
-epoch and a new attempt number. What agents report is ``task_evidence``.
+epoch and a new attempt number. See ``task_reconciler`` for what agents report.
 """
 
 from functools import partial
@@ -10,7 +10,7 @@
 from hyssopring.invariants import Invariants
 from hyssopring.leases import HeldShard
 from hyssopring.logs import Event, log_event
-from hyssopring.placement.journal import Journal
+from hyssopring.placement.chunk_writer import ChunkWriter
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import TaskState
 from hyssopring.placement.task_index import PlannedTask
@@ -29,7 +29,7 @@
     def __init__(
         self,
         held: HeldShard,
-        journal: Journal,
+        journal: ChunkWriter,
         ports: PlannerPorts,
         states: TaskStates,
     ) -> None:
--- a/hyssopring/placement/choice.py
+++ b/hyssopring/placement/worker_ranking.py
@@ -13,7 +13,13 @@
 from hyssopring.membership import AgentRecord
 from hyssopring.protocol.messages import Resources
 
-__all__ = ('Candidate', 'Harm', 'Placement', 'WorkerRanking', 'why_impossible')
+__all__ = (
+    'Candidate',
+    'Harm',
+    'Placement',
+    'WorkerRanking',
+    'infeasibility_reason',
+)
 
 
 @dataclass(slots=True)
@@ -180,7 +186,7 @@
         )
 
 
-def why_impossible(
+def infeasibility_reason(
     policy: ServicePolicy,
     size: Resources,
     agents: Collection[AgentRecord],
--- a/hyssopring/platform/advice.py
+++ b/hyssopring/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service for recommendations as ``jobs.AdvicePort``."""
+"""The platform's service for recommendations as ``jobs.AdviceClient``."""
 
 from http import HTTPStatus
 from typing import Any, Final
@@ -6,12 +6,12 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure as TwistedFailure
 
-from hyssopring.jobs.advice_port import (
-    AdvicePort,
+from hyssopring.jobs.advice_client import (
+    AdviceClient,
     AdviceUnavailable,
-    Advised,
-    NoAdvice,
-    Question,
+    AdviceAnswer,
+    UnconfiguredAdviceClient,
+    AdviceQuery,
 )
 from hyssopring.platform.incarnation import worker_id
 from hyssopring.platform.json_calls import JsonAnswer, JsonClient
@@ -29,9 +29,13 @@
 _TIMEOUT_MS: Final = 600.0
 
 
-def advice_port(reactor: Any, address: str) -> AdvicePort:
+def advice_port(reactor: Any, address: str) -> AdviceClient:
     """Return the port for the address in the settings, which may be empty."""
-    return PlatformAdvice(reactor, address) if address else NoAdvice()
+    return (
+        PlatformAdvice(reactor, address)
+        if address
+        else UnconfiguredAdviceClient()
+    )
 
 
 class PlatformAdvice:
@@ -46,8 +50,8 @@
             _IDLE_S,
         )
 
-    def ask(self, question: Question) -> Deferred:
-        """See ``AdvicePort``."""
+    def ask(self, question: AdviceQuery) -> Deferred:
+        """See ``AdviceClient``."""
         boots = question.boots
         calling = self._client.call(
             'POST',
@@ -66,7 +70,7 @@
     raise AdviceUnavailable(repr(failure.value))
 
 
-def _advised(answer: JsonAnswer, boots: tuple[str, ...]) -> Advised:
+def _advised(answer: JsonAnswer, boots: tuple[str, ...]) -> AdviceAnswer:
     if answer.status != HTTPStatus.OK:
         raise AdviceUnavailable(f'the service answered {answer.status}')
     try:
@@ -75,11 +79,11 @@
         raise AdviceUnavailable(repr(error)) from error
 
 
-def _read(fields: dict[str, Any], boots: tuple[str, ...]) -> Advised:
+def _read(fields: dict[str, Any], boots: tuple[str, ...]) -> AdviceAnswer:
     """Read tickets by id; those asked for have one incarnation each."""
     boot_by_id = {worker_id(boot): boot for boot in boots}
     tickets = {
         boot_by_id.get(str(runner_id), str(runner_id)): str(ticket)
         for runner_id, ticket in fields['approved']
     }
-    return Advised(tickets, float(fields.get('validMs', 0)))
+    return AdviceAnswer(tickets, float(fields.get('validMs', 0)))
--- a/hyssopring/platform/agent_process.py
+++ b/hyssopring/platform/agent_process.py
@@ -7,7 +7,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock, MonotonicClock, wall_ms
 from hyssopring.jobs.agent_core import JobAgentCore
 from hyssopring.jobs.discovery import EntryDiscovery
-from hyssopring.jobs.links import TURN_S, LinkDialler
+from hyssopring.jobs.links import LINK_TICK_INTERVAL_S, LinkDialler
 from hyssopring.jobs.messages import (
     AgentGreeting,
     EntryAddresses,
@@ -62,8 +62,8 @@
             random.Random(uuid.uuid4().int),
         )
         self._reports = ReportsResource(
-            self.core.watch.announce,
-            self.core.watch.withdraw,
+            self.core.monitor.announce,
+            self.core.monitor.withdraw,
             settings.own_hosts,
         )
         self._is_stopping = False
@@ -78,15 +78,15 @@
             QuietSite(self._reports),
         )
         serve_metrics(self._reactor, settings, self._metrics)
-        self._dialler.learn(settings.seed_addresses)
-        self._lifecycle.every(TURN_S, self._turn)
+        self._dialler.add_addresses(settings.seed_addresses)
+        self._lifecycle.every(LINK_TICK_INTERVAL_S, self._turn)
         self._turn()
         log_event(Event.PROCESS_STARTED, role='agent', id=settings.node_name)
 
     def reload(self, settings: NodeSettings) -> None:
         """Take new settings: entries may be found at other seeds."""
         self._settings = settings
-        self._dialler.learn(settings.seed_addresses)
+        self._dialler.add_addresses(settings.seed_addresses)
 
     def stop(self) -> None:
         """End at once: the worker keeps its tasks until the next agent.
@@ -104,26 +104,26 @@
         )
         wait_s = max(0, self._settings.bounds.grace_s - _RESERVE_S)
         self._lifecycle.drain(
-            lambda: self.core.leaving.may_end,
+            lambda: self.core.shutdown.can_exit,
             wait_s * MILLIS_PER_SECOND,
         )
 
     def _gauge(self) -> None:
         gauge = self._metrics.gauge
         gauge('attempts_running', len(self.core.table.by_task))
-        gauge('worker_silent_ms', self.core.watch.silent_ms)
+        gauge('worker_silent_ms', self.core.monitor.silent_ms)
         gauge('entries_connected', len(self._dialler.connected))
 
     def _turn(self) -> None:
-        self._dialler.turn()
-        self._discovery.turn()
-        self.core.turn()
+        self._dialler.tick()
+        self._discovery.tick()
+        self.core.tick()
 
     def _send(self, entry_id: str, message: JobsMessage) -> None:
         self._dialler.send(entry_id, message)
 
     def _take(self, entry_id: str, message: JobsMessage) -> None:
         if isinstance(message, EntryAddresses):
-            self._dialler.learn(message.addresses)
+            self._dialler.add_addresses(message.addresses)
         else:
             self.core.take(message, entry_id)
--- a/hyssopring/platform/callers.py
+++ b/hyssopring/platform/callers.py
@@ -16,7 +16,7 @@
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.errors import ErrorKind, Failure
-from hyssopring.jobs.desk import JobDesk
+from hyssopring.jobs.job_api import JobApi
 from hyssopring.jobs.model import Job, JobState, Queue, Schedule, Size, Step
 from hyssopring.jobs.queues import QueueTable
 from hyssopring.logs import Event, log_event
@@ -115,7 +115,7 @@
 
     isLeaf = True
 
-    def __init__(self, clock: Clock, desk: JobDesk) -> None:
+    def __init__(self, clock: Clock, desk: JobApi) -> None:
         """Answer 503 until ``table`` is set."""
         super().__init__()
         self._clock = clock
--- a/hyssopring/platform/configuration.py
+++ b/hyssopring/platform/configuration.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.python.failure import Failure as TwistedFailure
 
-from hyssopring.jobs.model import Advice, Queue
+from hyssopring.jobs.model import AdviceTiming, Queue
 from hyssopring.jobs.queues import QueueAddress, QueueTable
 from hyssopring.jobs.rows import (
     Changes,
@@ -47,8 +47,8 @@
     per_item_ms: float = 0
     valid_ms: float = 0
 
-    def to_advice(self) -> Advice:
-        return Advice(self.decision_ms, self.per_item_ms, self.valid_ms)
+    def to_advice(self) -> AdviceTiming:
+        return AdviceTiming(self.decision_ms, self.per_item_ms, self.valid_ms)
 
 
 class _Route(_Model):
@@ -200,7 +200,7 @@
         found = [
             StoredConfiguration(row.text, row.version)
             for row in rows
-            if row.place == _PLACE and not row.is_removed
+            if row.row_key == _PLACE and not row.is_removed
         ]
         found.sort(key=_row_version, reverse=True)
         for stored in found:
--- a/hyssopring/platform/entry_process.py
+++ b/hyssopring/platform/entry_process.py
@@ -9,9 +9,13 @@
     MonotonicClock,
     wall_ms,
 )
-from hyssopring.jobs.entries import EntryMembership
+from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.entry_core import JobEntryCore
-from hyssopring.jobs.links import TURN_S, LinkDialler, LinkListener
+from hyssopring.jobs.links import (
+    LINK_TICK_INTERVAL_S,
+    LinkDialler,
+    LinkListener,
+)
 from hyssopring.jobs.messages import (
     AgentGreeting,
     EntryAddresses,
@@ -93,9 +97,9 @@
             settings.node_name,
             self._greeted,
             self._take,
-            self.core.agent_gone,
+            self.core.agent_disconnected,
         )
-        self._callers = CallersResource(self._clock, self.core.desk)
+        self._callers = CallersResource(self._clock, self.core.job_api)
         self._ready = ReadyResource()
         # Not through peers: they tell of a newer configuration by themselves,
         # and pass it on in less than the whole answer that a relay would.
@@ -115,11 +119,11 @@
         return self._dialler.connected
 
     def to_entry(self, entry_id: str, message: JobsMessage) -> bool:
-        """See ``Peers``."""
+        """See ``PeerTransport``."""
         return self._dialler.send(entry_id, message)
 
     def answer(self, peer_id: str, message: JobsMessage) -> bool:
-        """See ``Peers``."""
+        """See ``PeerTransport``."""
         return self._listener.send(peer_id, message)
 
     def start(self) -> None:
@@ -131,13 +135,13 @@
         self._learn_seeds()
         serve_metrics(self._reactor, self._settings, self._metrics)
         self._follower.start()
-        self._membership.turn()
+        self._membership.tick()
         every = self._lifecycle.every
         every(RENEW_MS / MILLIS_PER_SECOND, self._renew)
-        every(_OWNER_TURN_S, self.core.turn)
+        every(_OWNER_TURN_S, self.core.tick)
         every(_POLL_S, self.core.poll)
-        every(TURN_S, self._dialler.turn)
-        every(_OWNER_TURN_S, self._listener.check_silence)
+        every(LINK_TICK_INTERVAL_S, self._dialler.tick)
+        every(_OWNER_TURN_S, self._listener.close_silent_connections)
         log_event(
             Event.PROCESS_STARTED,
             role='entry',
@@ -170,17 +174,17 @@
         )
 
     def _renew(self) -> None:
-        self._membership.turn()
+        self._membership.tick()
         self._ready.is_ready = (
             not self._is_stopping
             and self._callers.table is not None
-            and self._membership.is_in_touch
+            and self._membership.is_store_reachable
         )
 
     def _learn_seeds(self) -> None:
         """Dial the seeds: an entry that the store turns away has these only."""
         own = self._settings.inner_address
-        self._dialler.learn(set(self._settings.seed_addresses) - {own})
+        self._dialler.add_addresses(set(self._settings.seed_addresses) - {own})
 
     def _gauge(self) -> None:
         gauge = self._metrics.gauge
@@ -205,7 +209,7 @@
         addresses = sorted(self._membership.addresses.values())
         if addresses != self._addresses:
             self._addresses = addresses
-            self._dialler.keep(addresses)
+            self._dialler.set_addresses(addresses)
             for agent_id in self.core.agents:
                 self.answer(agent_id, EntryAddresses(addresses))
 
--- a/hyssopring/platform/metrics.py
+++ b/hyssopring/platform/metrics.py
@@ -6,7 +6,7 @@
 from twisted.web.http import Request
 from twisted.web.resource import Resource
 
-from hyssopring.jobs.measures import JobMeasures
+from hyssopring.jobs.job_metrics import JobMetrics
 from hyssopring.logs import Event, listen_to_events, log_event
 from hyssopring.metrics import Metrics, gauge_process
 from hyssopring.platform.listening import listen
@@ -42,7 +42,7 @@
 
     A port that is taken costs the metrics, not the service: it is logged.
     """
-    listen_to_events(JobMeasures(metrics).take)
+    listen_to_events(JobMetrics(metrics).record_event)
     metrics.collect(lambda: gauge_process(metrics))
     site = QuietSite(_MetricsResource(metrics))
     try:
--- a/hyssopring/platform/store_rows.py
+++ b/hyssopring/platform/store_rows.py
@@ -36,12 +36,12 @@
 
 
 def check_fields(check: RowCheck) -> dict[str, Any]:
-    return {**place_fields(check.place), 'ver': check.version}
+    return {**place_fields(check.row_key), 'ver': check.version}
 
 
 def put_fields(put: RowPut) -> dict[str, Any]:
     text = base64.b64encode(put.text.encode()).decode()
-    return {**place_fields(put.place), 'value': text}
+    return {**place_fields(put.row_key), 'value': text}
 
 
 def _row(fields: Any) -> Row | None:
@@ -124,7 +124,7 @@
 
 def only_row(page: Page, key: str) -> Row | None:
     """The range begins at the key: its row is the first, if there is one."""
-    if page.rows and page.rows[0].place.key == key:
+    if page.rows and page.rows[0].row_key.key == key:
         return page.rows[0]
     return None
 
--- a/hyssopring/platform/worker.py
+++ b/hyssopring/platform/worker.py
@@ -13,8 +13,8 @@
 from hyssopring.jobs.worker_port import (
     EndRow,
     Listing,
-    Look,
-    Start,
+    PollRequest,
+    StartRequest,
     StartOutcome,
     WorkerFenced,
     WorkerReplaced,
@@ -93,32 +93,32 @@
         self._restarts = RestartLog()
         self._boot = ''
 
-    def look(self, look: Look) -> Deferred:
+    def poll(self, look: PollRequest) -> Deferred:
         """See ``WorkerPort``."""
         self._meet(look.boot)
         fields: dict[str, Any] = {
             'fencingToken': look.fence,
-            'lastSeen': look.recorded,
+            'lastSeen': look.acked_through,
         }
-        if look.until_ms is not None:
-            fields['untilMs'] = look.until_ms
+        if look.hold_until_ms is not None:
+            fields['untilMs'] = look.hold_until_ms
         if look.wait_ms:
             fields['waitMs'] = look.wait_ms
         calling = self._call(
             '/-/hold',
             look.boot,
             fields,
-            look.answer_ms,
+            look.timeout_ms,
         )
         return calling.addCallback(self._listed, look)
 
-    def start(self, start: Start) -> Deferred:
+    def start(self, start: StartRequest) -> Deferred:
         """See ``WorkerPort``."""
         fields = {
             'task': start.task,
             'runId': start.attempt,
             'spec': start.payload,
-            'untilMs': start.until_ms,
+            'untilMs': start.hold_until_ms,
             'fencingToken': start.fence,
         }
         if start.checkpoint:
@@ -164,9 +164,9 @@
             self._boot = boot
             self._client.close_idle()
 
-    def _listed(self, answer: JsonAnswer, look: Look) -> Listing:
+    def _listed(self, answer: JsonAnswer, look: PollRequest) -> Listing:
         fields = answer.fields
-        self._restarts.listed(worker_id(look.boot), fields, look.recorded)
+        self._restarts.listed(worker_id(look.boot), fields, look.acked_through)
         listing = _listing(answer, self._say)
         boot = listed_boot(look.boot, fields.get('born'))
         return replace(listing, boot=boot)
--- a/hyssopring/routing/__init__.py
+++ b/hyssopring/routing/__init__.py
@@ -1,16 +1,16 @@
 """Routing decisions: which backend server gets a request, and when none."""
 
-from hyssopring.routing.budget import SendBudget
-from hyssopring.routing.choice import BackendSelector, Choice
+from hyssopring.routing.retry_budget import RetryBudget
+from hyssopring.routing.selector import BackendSelector, BackendChoice
 from hyssopring.routing.latency import LatencyWindow
-from hyssopring.routing.limits import Admission
-from hyssopring.routing.tracks import RoutingSettings
+from hyssopring.routing.admission import AdmissionControl
+from hyssopring.routing.backend_state import RoutingSettings
 
 __all__ = (
-    'Admission',
+    'AdmissionControl',
     'BackendSelector',
-    'Choice',
+    'BackendChoice',
     'LatencyWindow',
     'RoutingSettings',
-    'SendBudget',
+    'RetryBudget',
 )
--- a/hyssopring/routing/limits.py
+++ b/hyssopring/routing/admission.py
@@ -6,9 +6,9 @@
 from hyssopring.clock import Clock
 from hyssopring.configuration import ConfigurationState, ServicePolicy
 from hyssopring.errors import ErrorKind, Failure
-from hyssopring.routing.choice import Choice
+from hyssopring.routing.selector import BackendChoice
 
-__all__ = ('Admission',)
+__all__ = ('AdmissionControl',)
 
 _SECOND_MS: Final = 1000.0
 _BURST_MS: Final = 500.0
@@ -23,7 +23,7 @@
     filled_at: float
 
 
-class Admission:
+class AdmissionControl:
     """Token buckets by team, and the deadline against the expected wait."""
 
     def __init__(self, clock: Clock, configuration: ConfigurationState) -> None:
@@ -33,7 +33,7 @@
         self._bucket_by_team: dict[str, _Bucket] = {}
         self._rate_by_team: dict[str, float] = {}
         self._version = -1
-        self.entries = 1
+        self.entry_count = 1
 
     def quota_failure(self, policy: ServicePolicy) -> Failure | None:
         """Spend one of the team's requests; a failure if it has none left.
@@ -54,7 +54,7 @@
 
     def deadline_failure(
         self,
-        choice: Choice,
+        choice: BackendChoice,
         urgency: int,
         budget_ms: float,
     ) -> Failure | None:
@@ -81,7 +81,7 @@
         if rate is None:
             rate = self._configuration.team(team).requests_per_s
             self._rate_by_team[team] = rate
-        return rate / max(self.entries, 1)
+        return rate / max(self.entry_count, 1)
 
     def _filled(self, team: str, rate: float) -> _Bucket:
         now = self._clock.now()
--- a/hyssopring/routing/tracks.py
+++ b/hyssopring/routing/backend_state.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-__all__ = ('BackendTrack', 'Ejection', 'RoutingSettings')
+__all__ = ('BackendState', 'Ejection', 'RoutingSettings')
 
 _MIN_MS: Final = 0.05
 _HALF: Final = 0.5
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class BackendTrack:
+class BackendState:
     """One backend server, as this entry's own calls have met it.
 
     Attributes:
--- a/hyssopring/routing/ejection.py
+++ b/hyssopring/routing/ejection.py
@@ -8,8 +8,8 @@
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import BackendView
 from hyssopring.routing.latency import LatencyWindow
-from hyssopring.routing.tracks import (
-    BackendTrack,
+from hyssopring.routing.backend_state import (
+    BackendState,
     Ejection,
     RoutingSettings,
 )
@@ -21,7 +21,7 @@
 _SPREAD: Final = 0.3
 _GOOD_PROBE: Final = 2.0
 
-Tracked = Sequence[tuple[BackendView, BackendTrack]]
+Tracked = Sequence[tuple[BackendView, BackendState]]
 
 
 class Ejector:
@@ -51,7 +51,7 @@
     def answered(
         self,
         view: BackendView,
-        track: BackendTrack,
+        track: BackendState,
         request_id: str,
         took_ms: float,
         window: LatencyWindow,
@@ -61,13 +61,15 @@
         if ejection is None:
             return
         is_probe = request_id == ejection.probe_id
-        is_good = took_ms <= _GOOD_PROBE * max(window.p95 / 2, window.median)
+        is_good = took_ms <= _GOOD_PROBE * max(
+            window.p95_ms / 2, window.median_ms
+        )
         if ejection.why != 'slow' or (is_probe and is_good):
             self._restore(view, track)
         elif is_probe:
             self._extend(track, track.answered_at)
 
-    def failed(self, track: BackendTrack, now: float) -> None:
+    def failed(self, track: BackendState, now: float) -> None:
         """Count a failure against an ejected backend's return."""
         if track.ejection is not None:
             self._extend(track, now)
@@ -86,7 +88,7 @@
         slow_limit = self._slow_limit(tracked)
         stall_ms = max(
             self._settings.min_stall_ms,
-            self._settings.stall_factor * window.p95,
+            self._settings.stall_factor * window.p95_ms,
         )
         for view, track in tracked:
             if track.ejection is not None or room <= 0:
@@ -108,7 +110,7 @@
 
     def _fault(
         self,
-        track: BackendTrack,
+        track: BackendState,
         slow_limit: float,
         stall_ms: float,
         now: float,
@@ -124,7 +126,7 @@
     def _eject(
         self,
         view: BackendView,
-        track: BackendTrack,
+        track: BackendState,
         why: str,
         now: float,
     ) -> None:
@@ -140,7 +142,7 @@
             latency=f'{math.exp(track.log_latency):.1f}ms',
         )
 
-    def _extend(self, track: BackendTrack, now: float) -> None:
+    def _extend(self, track: BackendState, now: float) -> None:
         if track.ejection is None:
             return
         doublings = min(track.ejections, _MAX_DOUBLINGS)
@@ -152,7 +154,7 @@
         track.ejection.until = now + base * (1 + _SPREAD * self._rng.random())
         track.ejection.probe_id = ''
 
-    def _restore(self, view: BackendView, track: BackendTrack) -> None:
+    def _restore(self, view: BackendView, track: BackendState) -> None:
         track.ejection = None
         track.ejections = 0
         track.failures = 0
@@ -165,14 +167,14 @@
         )
 
 
-def _is_probe_due(track: BackendTrack, now: float) -> bool:
+def _is_probe_due(track: BackendState, now: float) -> bool:
     ejection = track.ejection
     if ejection is None or now < ejection.until:
         return False
     return not ejection.probe_id
 
 
-def _is_usable(track: BackendTrack) -> bool:
+def _is_usable(track: BackendState) -> bool:
     # A slow backend's estimate keeps calls away by itself, for as long as
     # the others are better. Taking its slots away altogether would overload
     # them, and then they would look slow too.
--- a/hyssopring/routing/latency.py
+++ b/hyssopring/routing/latency.py
@@ -22,12 +22,12 @@
         self._p95 = _UNKNOWN_MS
 
     @property
-    def median(self) -> float:
+    def median_ms(self) -> float:
         """The median, 0 before enough answers were seen."""
         return self._median
 
     @property
-    def p95(self) -> float:
+    def p95_ms(self) -> float:
         """The 95th percentile; one second before enough were seen."""
         return self._p95
 
--- a/hyssopring/routing/budget.py
+++ b/hyssopring/routing/retry_budget.py
@@ -2,13 +2,13 @@
 
 from typing import Final
 
-__all__ = ('SendBudget',)
+__all__ = ('RetryBudget',)
 
 _SHARE: Final = 0.1
 _MAX_SAVED: Final = 20.0
 
 
-class SendBudget:
+class RetryBudget:
     """Retries and hedges as a share of successes.
 
     Guards against the retry storm: when most calls fail, few successes
@@ -26,11 +26,11 @@
         self._max_saved = max_saved
         self._saved = max_saved / 2
 
-    def succeeded(self) -> None:
+    def on_success(self) -> None:
         """Earn a share of one extra send."""
         self._saved = min(self._saved + self._share, self._max_saved)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one extra send; False when there is none to spend."""
         if self._saved < 1:
             return False
--- a/hyssopring/routing/choice.py
+++ b/hyssopring/routing/selector.py
@@ -13,12 +13,12 @@
 from hyssopring.protocol.messages import CallResponse
 from hyssopring.routing.ejection import Ejector, Tracked
 from hyssopring.routing.latency import LatencyWindow
-from hyssopring.routing.tracks import (
-    BackendTrack,
+from hyssopring.routing.backend_state import (
+    BackendState,
     RoutingSettings,
 )
 
-__all__ = ('BackendSelector', 'Choice')
+__all__ = ('BackendSelector', 'BackendChoice')
 
 _DEFAULT_MS: Final = 20.0
 _MIN_SAMPLES: Final = 5
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class BackendChoice:
     """The chosen backend and the reason, for the log line.
 
     Attributes:
@@ -70,11 +70,11 @@
         self._zone = zone
         self._rng = rng
         self._settings = settings
-        self._tracks_by_agent: dict[str, dict[str, BackendTrack]] = {}
+        self._tracks_by_agent: dict[str, dict[str, BackendState]] = {}
         self._service_by_name: dict[str, _Service] = {}
         self._ejector = Ejector(settings, rng)
 
-    def window(self, service_name: str) -> LatencyWindow:
+    def latency_window(self, service_name: str) -> LatencyWindow:
         """Return a service's recent latencies."""
         return self._service(service_name).window
 
@@ -82,13 +82,13 @@
         """Return the share of a service's slots that is taken."""
         return self._service(service_name).utilization
 
-    def track(self, view: BackendView) -> BackendTrack:
+    def track(self, view: BackendView) -> BackendState:
         """Return what this entry has seen of a backend."""
         tracks = self._tracks_by_agent.setdefault(view.agent.agent_id, {})
         track = tracks.get(view.report.backend_id)
         if track is None or track.since != view.since:
             # Heard of for the first time, or on a new connection.
-            track = BackendTrack(view.since)
+            track = BackendState(view.since)
             tracks[view.report.backend_id] = track
         if view.reported_at > track.reported_at:
             total = view.report.in_flight + view.report.queued
@@ -103,7 +103,7 @@
         self,
         candidates: Sequence[BackendView],
         now: float,
-    ) -> Choice | None:
+    ) -> BackendChoice | None:
         """Pick the backend with the least expected time to answer."""
         tracked = [
             (view, self.track(view)) for view in candidates if view.is_routable
@@ -123,7 +123,7 @@
         ]
         return min(estimates, key=self._weighed).choice()
 
-    def sent(self, view: BackendView, request_id: str, now: float) -> None:
+    def on_sent(self, view: BackendView, request_id: str, now: float) -> None:
         """Note that a call went out; an ejected backend's is its probe."""
         track = self.track(view)
         track.sent(request_id, now)
@@ -138,7 +138,7 @@
             why=track.ejection.why,
         )
 
-    def heard(
+    def on_response(
         self,
         record: AgentRecord,
         response: CallResponse,
@@ -158,7 +158,7 @@
     def _learn(
         self,
         view: BackendView,
-        track: BackendTrack,
+        track: BackendState,
         response: CallResponse,
         sent_at: float,
         now: float,
@@ -169,7 +169,7 @@
             track.report(total, now)
         track.hear(now)
         if outcome is CallOutcome.ANSWERED:
-            window = self.window(view.report.service_name)
+            window = self.latency_window(view.report.service_name)
             track.failures = 0
             track.learn(now - sent_at, self._settings.latency_weight)
             window.add(now - sent_at)
@@ -194,7 +194,7 @@
     def _estimate(
         self,
         view: BackendView,
-        track: BackendTrack,
+        track: BackendState,
         service: '_Service',
         now: float,
     ) -> '_Estimate':
@@ -213,7 +213,7 @@
 
     def _service_ms(
         self,
-        track: BackendTrack,
+        track: BackendState,
         typical_ms: float,
         now: float,
     ) -> float:
@@ -243,13 +243,13 @@
     wait_ms: float
     total_ms: float
 
-    def choice(self) -> Choice:
+    def choice(self) -> BackendChoice:
         why = (
             f'least-time {self.total_ms:.1f}ms '
             f'load={self.load - 1:.1f}/{self.view.report.slots} '
             f'service={self.service_ms:.1f}ms zone={self.view.agent.zone}'
         )
-        return Choice(self.view, why, self.wait_ms, self.total_ms)
+        return BackendChoice(self.view, why, self.wait_ms, self.total_ms)
 
 
 def _typical_ms(tracked: Tracked) -> float:
--- a/standins/configuration_site.py
+++ b/standins/configuration_site.py
@@ -46,11 +46,11 @@
         return [name for name in self._site.by_name if name != self.name]
 
     def to_entry(self, entry_id, message):
-        """See ``Peers``."""
+        """See ``PeerTransport``."""
         return self._site.carry(self.name, entry_id, message)
 
     def answer(self, peer_id, message):
-        """See ``Peers``."""
+        """See ``PeerTransport``."""
         return self._site.carry(self.name, peer_id, message)
 
     def _configured(self, table, stored):
--- a/standins/jobs/advice.py
+++ b/standins/jobs/advice.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.defer import Deferred
 
-from hyssopring.jobs.advice_port import AdviceUnavailable, Advised
+from hyssopring.jobs.advice_client import AdviceUnavailable, AdviceAnswer
 
 LINK_S = 0.001
 MAX_WAITING = 32
@@ -105,7 +105,7 @@
                 if self.names_former:
                     former = f'{worker}-{int(life) - 1}'
                     tickets[former] = self._ticket(question.step, former)
-        return Advised(tickets, self.valid_ms)
+        return AdviceAnswer(tickets, self.valid_ms)
 
     def _ticket(self, step, boot):
         text = f't-{next(self._numbers)}'
--- a/standins/jobs/colocated.py
+++ b/standins/jobs/colocated.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from hyssopring.jobs.fleet import Placed, Worker
+from hyssopring.jobs.fleet import PlacedAttempt, Worker
 from hyssopring.jobs.messages import WorkerReport
 from hyssopring.jobs.model import Size, Step, TaskName
 
@@ -40,7 +40,7 @@
     )
     worker = Worker(name, 'zone', is_connected=True, report=report)
     for number, step in enumerate(steps):
-        placed = Placed(
+        placed = PlacedAttempt(
             TaskName(f'{name}{number}', 0, 0, 0),
             1,
             step,
--- a/standins/jobs/deployment.py
+++ b/standins/jobs/deployment.py
@@ -127,7 +127,7 @@
     def _end_agent(self, agent, deadline):
         if not agent.is_alive:
             return
-        if agent.core.leaving.may_end or self.reactor.seconds() > deadline:
+        if agent.core.shutdown.can_exit or self.reactor.seconds() > deadline:
             self.reactor.callLater(STEP_S, self._kill_process, agent)
         else:
             self.reactor.callLater(0.05, self._end_agent, agent, deadline)
@@ -146,7 +146,7 @@
         if agent.is_alive:
             agent.core.disconnected(entry.name)
         if entry.is_alive:
-            entry.core.agent_gone(agent.name)
+            entry.core.agent_disconnected(agent.name)
 
     def carry(self, sender, name, message):
         """Write a message on a link; what is under way is lost with it."""
@@ -202,21 +202,23 @@
         outcomes = []
         self.book.most_failures[job.job_id] = job.queue.max_attempts
         for step in job.steps:
-            self.book.sizes[job.job_id] = step.charge
+            self.book.sizes[job.job_id] = step.reserved_size
         if job.queue.advice is not None:
             self.book.advised.add(job.job_id)
         for number, step in enumerate(job.steps):
             if step.is_keeper:
                 self.book.keepers.update(map(str, job.tasks(0, number)))
         until = self.wall_ms() - WALL_MS + 2000
-        self.entries[entry].core.desk.submit(job, until).addCallback(
+        self.entries[entry].core.job_api.submit(job, until).addCallback(
             outcomes.append
         )
         return outcomes
 
     def state(self, job_id, entry='entry-0'):
         states = []
-        self.entries[entry].core.desk.state(job_id).addCallback(states.append)
+        self.entries[entry].core.job_api.state(job_id).addCallback(
+            states.append
+        )
         self.run(1)
         return states[0].unwrap() if states else None
 
--- a/standins/jobs/faults.py
+++ b/standins/jobs/faults.py
@@ -227,7 +227,7 @@
         ]
         if entries:
             self.cancelled.add(job_id)
-            self.random.choice(entries).core.desk.cancel(job_id, 1e12)
+            self.random.choice(entries).core.job_api.cancel(job_id, 1e12)
 
     def _heal(self):
         deployment = self.deployment
--- a/standins/jobs/keeper_watch.py
+++ b/standins/jobs/keeper_watch.py
@@ -50,7 +50,7 @@
         self._lost_vms.look()
         rooms = self._count_rooms()
         wanted = {
-            str(task): step.charge
+            str(task): step.reserved_size
             for job in jobs
             for number, step in enumerate(job.steps)
             for task in job.tasks(0, number)
--- a/standins/jobs/lost_vms.py
+++ b/standins/jobs/lost_vms.py
@@ -68,4 +68,4 @@
             if entry.is_alive
             for owned in entry.core.owner.shards.by_shard.values()
         ]
-        return max(found, key=lambda owned: owned.reign, default=None)
+        return max(found, key=lambda owned: owned.epoch, default=None)
--- a/standins/jobs/moving_days.py
+++ b/standins/jobs/moving_days.py
@@ -93,7 +93,7 @@
     def _cancel(self, job_id):
         entries = [e for e in self.deployment.entries.values() if e.is_alive]
         if entries:
-            self.random.choice(entries).core.desk.cancel(job_id, 1e12)
+            self.random.choice(entries).core.job_api.cancel(job_id, 1e12)
 
     def _later(self, low, high, action, *given):
         self.deployment.reactor.callLater(
@@ -289,16 +289,18 @@
 
     def old_commit(transaction):
         puts = tuple(
-            RowPut(put.place, '') if put.place.table == AGENTS_TABLE else put
+            RowPut(put.row_key, '')
+            if put.row_key.table == AGENTS_TABLE
+            else put
             for put in transaction.puts
-            if put.place != roster_key(0)
+            if put.row_key != roster_key(0)
         )
         if transaction.puts and not puts:
             puts = transaction.puts[:0]
         checks = tuple(
             check
             for check in transaction.checks
-            if check.place.table != AGENTS_TABLE or transaction.removals
+            if check.row_key.table != AGENTS_TABLE or transaction.removals
         )
         return commit(Transaction(checks, puts, transaction.removals))
 
@@ -311,11 +313,11 @@
         owned.roster._store = _Old(store, old_commit)
         owned.roster._reigns._store = _Old(store, old_commit)
         owned.roster.may_grant = lambda _agent: True
-        owned.roster.suspend = lambda *_given: None
+        owned.roster.set_expiries = lambda *_given: None
         owned.locations.locate = lambda *_given: True
-        owned.locations.look = lambda *_given: None
-        owned.locations.holders = lambda _task, unheard: unheard
-        owned._absences.over_at = owned.former.until
+        owned.locations.update = lambda *_given: None
+        owned.locations.possible_agents = lambda _task, unheard: unheard
+        owned._absences.grant_expires_at = owned.former.until
 
     entry.membership.on_acquired = on_acquired
 
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -4,7 +4,7 @@
 
 from hyssopring.clock import MILLIS_PER_SECOND
 from hyssopring.jobs.agent_core import JobAgentCore
-from hyssopring.jobs.entries import EntryMembership
+from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.entry_core import JobEntryCore
 from hyssopring.jobs.relay import RelayedStore
 from hyssopring.jobs.times import RENEW_MS
@@ -108,10 +108,10 @@
             self,
             AdviceLink(deployment.advice, name, self.reactor),
         )
-        self.every(RENEW_MS / MILLIS_PER_SECOND, self.membership.turn)
-        self.every(ENTRY_TURN_S, self.core.turn)
+        self.every(RENEW_MS / MILLIS_PER_SECOND, self.membership.tick)
+        self.every(ENTRY_TURN_S, self.core.tick)
         self.every(POLL_S, self.core.poll)
-        self.reactor.callLater(0, self.membership.turn)
+        self.reactor.callLater(0, self.membership.tick)
 
     @property
     def connected_entries(self):
@@ -141,8 +141,8 @@
         self.worker = worker
         self.process_reactor = process_reactor
 
-    def look(self, look):
-        return self._carry(self.worker.look(look))
+    def poll(self, look):
+        return self._carry(self.worker.poll(look))
 
     def start(self, start):
         return self._carry(self.worker.start(start))
@@ -186,12 +186,12 @@
             self.send,
             deployment.wall_ms,
         )
-        watch = self.core.watch
+        watch = self.core.monitor
         self.reports = ReportsResource(
             watch.announce, watch.withdraw, (OWN_HOST,)
         )
         self.links = set()
-        self.every(AGENT_TURN_S, self.core.turn)
+        self.every(AGENT_TURN_S, self.core.tick)
         self.every(BEAT_S, self.beat)
         self.every(REDIAL_S, self.dial)
         self.reactor.callLater(0, self.beat)
@@ -204,7 +204,7 @@
         if worker.keeps_id:
             post_report(self.reports, worker.boot, report_fields(worker))
         else:
-            self.core.watch.announce(worker.announcement())
+            self.core.monitor.announce(worker.announcement())
 
     def dial(self):
         for name, entry in self.deployment.entries.items():
--- a/standins/jobs/rolling_days.py
+++ b/standins/jobs/rolling_days.py
@@ -137,7 +137,7 @@
             return
         job_id = self.random.choice(job_ids)
         self.cancelled.add(job_id)
-        desk = self.deployment.entries[self.random.choice(entries)].core.desk
+        desk = self.deployment.entries[self.random.choice(entries)].core.job_api
         answers = self.cancels.setdefault(job_id, [])
         desk.cancel(job_id, 1e12).addCallback(answers.append)
 
@@ -187,7 +187,7 @@
 
     def _states(self):
         """Ask the owner for the states of all accepted jobs."""
-        desk = self.deployment.entries[self._owner()].core.desk
+        desk = self.deployment.entries[self._owner()].core.job_api
         found = {}
         for job_id in self.jobs:
             if self._is_accepted(job_id):
--- a/standins/jobs/rows.py
+++ b/standins/jobs/rows.py
@@ -65,21 +65,21 @@
         self.changes = []
 
     def apply(self, transaction):
-        parts = {each.place.part for each in transaction.checks}
-        parts |= {put.place.part for put in transaction.puts}
+        parts = {each.row_key.part for each in transaction.checks}
+        parts |= {put.row_key.part for put in transaction.puts}
         parts |= {place.part for place in transaction.removals}
         assert len(parts) == 1, 'a transaction stays in one part'
         for check in transaction.checks:
-            row = self.rows.get(check.place)
+            row = self.rows.get(check.row_key)
             if (row.version if row else 0) != check.version:
                 found = [
-                    self.rows.get(each.place) for each in transaction.checks
+                    self.rows.get(each.row_key) for each in transaction.checks
                 ]
                 return Conflict(tuple(row for row in found if row))
         self.version += 1
         for put in transaction.puts:
-            row = Row(put.place, put.text, self.version)
-            self.rows[put.place] = row
+            row = Row(put.row_key, put.text, self.version)
+            self.rows[put.row_key] = row
             self.changes.append(row)
         for place in transaction.removals:
             if self.rows.pop(place, None):
@@ -123,7 +123,7 @@
                 and place.part == part
                 and place.key >= first
             ),
-            key=lambda row: row.place.key,
+            key=lambda row: row.row_key.key,
         )
         page = tuple(rows[:PAGE_ROWS])
         has_more = len(rows) > PAGE_ROWS
@@ -135,7 +135,7 @@
         rows = [
             row
             for row in self.store.changes
-            if row.place.table == table and row.version > after
+            if row.row_key.table == table and row.version > after
         ]
         return Changes(tuple(rows), self.store.version, self.store.now_ms)
 
--- a/standins/jobs/shared_worker.py
+++ b/standins/jobs/shared_worker.py
@@ -85,10 +85,10 @@
         super().begin()
         self._shared = {}
 
-    def look(self, look):
+    def poll(self, look):
         """Answer when something has ended, or after the time asked for."""
         if self.is_dark or self.slow_s or look.boot != self.boot:
-            return super().look(look)
+            return super().poll(look)
         answer = Deferred()
         due = self.reactor.seconds() + max(CALL_S, look.wait_ms / MILLIS)
         self._looks.append((due, answer, look))
@@ -180,7 +180,7 @@
     def _answer_looks(self, now):
         looks, self._looks = self._looks, []
         for due, answer, look in looks:
-            has_news = any(end.number > look.recorded for end in self.ends)
+            has_news = any(end.number > look.acked_through for end in self.ends)
             if now >= due or has_news:
                 self._answer(
                     answer, look.boot, lambda look=look: self._look(look)
@@ -239,6 +239,6 @@
     def _check_room(self):
         used = Size()
         for shared in self._shared.values():
-            used = used.plus(shared.step.charge)
+            used = used.plus(shared.step.reserved_size)
         if not used.fits_in(self.room):
             self.book.broken.append(f'{self.name} is over its room: {used}')
--- a/standins/jobs/worker.py
+++ b/standins/jobs/worker.py
@@ -188,8 +188,8 @@
         left_s = self.leaves_at - self.reactor.seconds()
         return max(0, int(left_s * SECOND_MS))
 
-    def look(self, look):
-        timeout_s = look.answer_ms / SECOND_MS
+    def poll(self, look):
+        timeout_s = look.timeout_ms / SECOND_MS
         if self.lose_looks and not self.is_dark:
             self.lose_looks -= 1
             return self._lose(look.boot, lambda: self._look(look), timeout_s)
@@ -290,8 +290,8 @@
             raise WorkerFenced('a higher fence was seen')
         if look.fence >= self.fence:
             self.fence = look.fence
-            self._hold(look.until_ms)
-            self._acknowledge(look.recorded)
+            self._hold(look.hold_until_ms)
+            self._acknowledge(look.acked_through)
         rows = tuple(
             WorkerRow(run.task, run.number, run.checkpoint, 50, 0)
             for run in self.runs.values()
@@ -312,13 +312,13 @@
         if start.fence < self.fence:
             return StartOutcome.FENCED
         self.fence = start.fence
-        self._hold(start.until_ms)
+        self._hold(start.hold_until_ms)
         known = self.runs.get(start.task)
         if known is not None and known.number == start.attempt:
             return StartOutcome.STARTED
         if start.attempt <= self.highest_by_task.get(start.task, 0):
             return StartOutcome.OLD
-        if start.until_ms <= self.clock_ms():
+        if start.hold_until_ms <= self.clock_ms():
             return StartOutcome.LATE
         if self.is_unhealthy:
             return StartOutcome.UNHEALTHY
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -42,9 +42,9 @@
 
 def _fields(row):
     fields = {
-        'table': row.place.table,
-        'part': row.place.part,
-        'key': row.place.key,
+        'table': row.row_key.table,
+        'part': row.row_key.part,
+        'key': row.row_key.key,
         'ver': row.version,
     }
     if row.is_removed:
@@ -134,7 +134,7 @@
         rows = [
             row
             for row in self.rows.changes
-            if row.place.table == asked['table']
+            if row.row_key.table == asked['table']
             and row.version > int(asked['after'])
         ]
         if not rows and wait_ms > 0:
--- a/standins/runner_wire.py
+++ b/standins/runner_wire.py
@@ -9,8 +9,8 @@
 
 from hyssopring.jobs.model import AttemptEnd
 from hyssopring.jobs.worker_port import (
-    Look,
-    Start,
+    PollRequest,
+    StartRequest,
     StartOutcome,
     WorkerFenced,
     WorkerReplaced,
@@ -50,7 +50,7 @@
         return status, {'clockMs': self.worker.clock_ms(), **fields}
 
     def _run_start(self, worker_id, body):
-        start = Start(
+        start = StartRequest(
             worker_id,
             body['fencingToken'],
             body['task'],
@@ -79,7 +79,7 @@
         return pacing.addCallback(_nothing_more)
 
     def _hold(self, worker_id, body, timeout_ms):
-        look = Look(
+        look = PollRequest(
             worker_id,
             body['fencingToken'],
             body['lastSeen'],
@@ -87,7 +87,7 @@
             0,
             timeout_ms,
         )
-        listing = self.worker.look(look)
+        listing = self.worker.poll(look)
         return listing.addCallback(_listing_answer, self.worker)
 
 
--- a/standins/virtual/agent.py
+++ b/standins/virtual/agent.py
@@ -94,6 +94,6 @@
         for entry_id in self.core.to_leave():
             self.link_by_entry[entry_id].close()
         for name, link in list(self.link_by_entry.items()):
-            limit = self.core.sessions.silence_limit(name)
+            limit = self.core.sessions.silence_timeout_ms(name)
             if link.heard_by_agent + limit < self.deployment.loop.now:
                 link.close_by_agent()
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -1,9 +1,9 @@
 """What one boot of a worker has last said of itself."""
 
 from hyssopring.clock import ManualClock
-from hyssopring.jobs.announced import AnnouncedState
+from hyssopring.jobs.announced_state import AnnouncedState
 from hyssopring.jobs.model import Size
-from hyssopring.jobs.times import ROOM_MS
+from hyssopring.jobs.times import CAPACITY_TTL_MS
 from hyssopring.jobs.worker_port import Announcement
 
 ROOM = Size(4000, 8000, 0)
@@ -18,7 +18,7 @@
 def test_a_late_report_changes_nothing():
     """Guards against a room that an overtaken report enlarges."""
     state = AnnouncedState.of_boot(ManualClock(), told(5), 0)
-    assert not state.take(told(4, Size(9000, 9000, 0), is_leaving=True))
+    assert not state.update(told(4, Size(9000, 9000, 0), is_leaving=True))
     assert state.room == ROOM
     assert not state.is_leaving
 
@@ -27,9 +27,9 @@
     """Guards against starts in a room that may have shrunk since."""
     clock = ManualClock()
     state = AnnouncedState.of_boot(clock, told(1), clock.now())
-    clock.advance(ROOM_MS + 1)
+    clock.advance(CAPACITY_TTL_MS + 1)
     assert state.room == Size()
-    assert state.take(told(2, Size(1000, 1000, 0)))
+    assert state.update(told(2, Size(1000, 1000, 0)))
     assert state.room == Size(1000, 1000, 0)
 
 
--- a/tests/test_border_incarnations.py
+++ b/tests/test_border_incarnations.py
@@ -4,7 +4,7 @@
 from test_border_runner import GOOD
 from test_platform import LOOK, Answers, result_of, worker_with
 
-from hyssopring.jobs.advice_port import Question
+from hyssopring.jobs.advice_client import AdviceQuery
 from hyssopring.logs import Event, _emit, listen_to_events
 from hyssopring.platform.advice import PlatformAdvice
 from hyssopring.platform.incarnation import boot_name
@@ -30,7 +30,7 @@
 
 def look(worker, **fields):
     worker._client = Answers(200, {'clockMs': 1, **fields})
-    return result_of(worker.look(type('Look', (), LOOK)))
+    return result_of(worker.poll(type('PollRequest', (), LOOK)))
 
 
 def test_a_restart_under_the_same_id_is_logged_once(restarts):
@@ -126,7 +126,9 @@
 )
 def test_a_list_names_the_incarnation_that_answered(asked, born, boot):
     worker = worker_with(Answers(200, {'clockMs': 1, 'born': born}))
-    listing = result_of(worker.look(type('Look', (), {**LOOK, 'boot': asked})))
+    listing = result_of(
+        worker.poll(type('PollRequest', (), {**LOOK, 'boot': asked}))
+    )
     assert listing.boot == boot
 
 
@@ -141,7 +143,7 @@
     answers = Answers(200, {'approved': [['i-1', 't'], ['i-2', 'u']]})
     advice = PlatformAdvice(None, '127.0.0.1:1')
     advice._client = answers
-    advised = result_of(advice.ask(Question('step', boots, 100)))
+    advised = result_of(advice.ask(AdviceQuery('step', boots, 100)))
     assert answers.calls[0][2]['workers'] == ['i-1', 'i-2']
     assert advised.ticket_by_boot == {boots[0]: 't', 'i-2': 'u'}
 
@@ -151,7 +153,7 @@
     answers = Answers(200, {'clockMs': 1})
     worker = worker_with(answers)
     for boot in (f'i-1#{BORN}', f'i-1#{BORN}', f'i-1#{BORN + 1}'):
-        worker.look(type('Look', (), {**LOOK, 'boot': boot}))
+        worker.poll(type('PollRequest', (), {**LOOK, 'boot': boot}))
     assert answers.closings == 2
 
 
--- a/tests/test_border_rows.py
+++ b/tests/test_border_rows.py
@@ -15,13 +15,13 @@
     JobRow,
     OwnerRow,
     ProgressRow,
-    UnreadableRow,
+    MalformedRowError,
 )
 from hyssopring.jobs.links import LinkDialler
 from hyssopring.jobs.model import JobState
 from hyssopring.jobs.peer_entries import PeerEntries
 from hyssopring.jobs.row_keys import (
-    ENTRIES,
+    ENTRIES_TABLE,
     job_key,
     owner_key,
     progress_key,
@@ -45,7 +45,7 @@
 
 
 def entry(key, text, version=1):
-    return Row(RowKey(ENTRIES, '', key), text, version)
+    return Row(RowKey(ENTRIES_TABLE, '', key), text, version)
 
 
 def put(deployment, place, text):
@@ -87,7 +87,7 @@
     job = a_job(steps=((6, ()), (2, (0,))))
     deployment.submit(job)
     deployment.run(1)
-    put(deployment, RowKey(ENTRIES, '', 'odd'), text)
+    put(deployment, RowKey(ENTRIES_TABLE, '', 'odd'), text)
     deployment.kill_entry(deployment.owner)
     deployment.run(14)
     survivor = deployment.owner
@@ -101,7 +101,7 @@
     def __init__(self):
         self.learnt = []
 
-    def learn(self, addresses):
+    def add_addresses(self, addresses):
         self.learnt.extend(addresses)
 
 
@@ -112,7 +112,7 @@
     store = Rows(succeed(Page(tuple(rows), False, 9)))
     discovery = EntryDiscovery(clock, store, dialler, random.Random(1))
     clock.advance(2000)
-    discovery.turn()
+    discovery.tick()
     assert dialler.learnt == ['z:1']
 
 
@@ -120,7 +120,7 @@
 def test_an_address_that_names_no_port_is_not_dialled(address, errors):
     dialler = LinkDialler(Reactor(), ManualClock(), None, None, None, None)
     for _time in range(3):
-        dialler.learn([address, 'b:1'])
+        dialler.add_addresses([address, 'b:1'])
     assert list(dialler._by_address) == ['b:1']
     assert len(errors) == 1
 
@@ -160,7 +160,7 @@
     """Neither from a poll nor from the next owner."""
     deployment = settled()
     job = a_job(9, steps=((2, ()),))
-    deployment.book.sizes[job.job_id] = job.steps[0].charge
+    deployment.book.sizes[job.job_id] = job.steps[0].reserved_size
     put(deployment, job_key(JOB.job_id), text)
     put(deployment, job_key(job.job_id), JobRow(job, 0).to_text())
     if is_history_lost:
@@ -168,7 +168,7 @@
     deployment.run(6)
     assert deployment.state(job.job_id, deployment.owner) is JobState.COMPLETED
     late = a_job(10, steps=((2, ()),))
-    deployment.book.sizes[late.job_id] = late.steps[0].charge
+    deployment.book.sizes[late.job_id] = late.steps[0].reserved_size
     deployment.kill_entry(deployment.owner)
     put(deployment, job_key(late.job_id), JobRow(late, 0).to_text())
     deployment.run(9)
@@ -181,7 +181,7 @@
 
 def test_a_job_whose_row_is_mended_runs():
     deployment = settled()
-    deployment.book.sizes[JOB.job_id] = JOB.steps[0].charge
+    deployment.book.sizes[JOB.job_id] = JOB.steps[0].reserved_size
     put(deployment, job_key(JOB.job_id), 'odd')
     deployment.run(4)
     put(deployment, job_key(JOB.job_id), JobRow(JOB, 0).to_text())
@@ -211,7 +211,7 @@
     deployment.run(4)
     assert len(starts_of(deployment, done)) == 2
     other = a_job(4, steps=((2, ()),))
-    deployment.book.sizes[other.job_id] = other.steps[0].charge
+    deployment.book.sizes[other.job_id] = other.steps[0].reserved_size
     deployment.kill_entry(deployment.owner)
     put(deployment, progress_key(done.job_id), text)
     put(deployment, job_key(other.job_id), JobRow(other, 0).to_text())
@@ -230,7 +230,7 @@
     put(deployment, progress_key(JOB.job_id), 'odd')
     deployment.entries[deployment.owner].core.owner.shards.by_shard.clear()
     states = []
-    desk = deployment.entries['entry-0'].core.desk
+    desk = deployment.entries['entry-0'].core.job_api
     desk._stored(JOB.job_id).addBoth(states.append)
     deployment.run(1)
     assert states[0].is_err()
@@ -256,13 +256,13 @@
     deployment.submit(job)
     deployment.run(1)
     before = deployment.entries[deployment.owner].core.owner.shards.by_shard
-    reign = before[0].reign
+    reign = before[0].epoch
     deployment.kill_entry(deployment.owner)
     put(deployment, owner_key(0), text)
     deployment.run(30)
     survivor = deployment.owner
     after = deployment.entries[survivor].core.owner.shards.by_shard[0]
-    assert after.reign > reign and not after.former.is_over
+    assert after.epoch > reign and not after.former.is_over
     assert deployment.state(job.job_id, survivor) is JobState.COMPLETED
     assert len(starts_of(deployment, job)) == 8
 
@@ -285,7 +285,7 @@
             changed = changed[: rng.randrange(len(changed))]
         try:
             document = kind.from_text(changed)
-        except UnreadableRow:
+        except MalformedRowError:
             continue
         assert kind.from_text(document.to_text()) == document
 
@@ -297,11 +297,11 @@
     deployment = settled(Deployment(work_ms=lambda task: 1000))
     for number in range(20, 26):
         places = sorted(
-            (row.place for row in deployment.rows.rows.values()), key=str
+            (row.row_key for row in deployment.rows.rows.values()), key=str
         )
         place = rng.choice(places)
         put(deployment, place, rng.choice(ODD_ENTRIES))
-        put(deployment, RowKey(ENTRIES, '', f'x{number}'), 'odd')
+        put(deployment, RowKey(ENTRIES_TABLE, '', f'x{number}'), 'odd')
         deployment.run(20)
         job = a_job(number, steps=((2, ()),))
         deployment.submit(job)
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -11,7 +11,7 @@
 from twisted.web.test.requesthelper import DummyRequest
 
 from hyssopring.jobs.attempts import AttemptTable
-from hyssopring.jobs.ends import EndTable
+from hyssopring.jobs.end_table import EndTable
 from hyssopring.jobs.model import AttemptEnd
 from hyssopring.jobs.worker_port import Listing, WorkerUnreachable
 from hyssopring.platform.reports import ReportsResource
@@ -112,7 +112,7 @@
 
 def look(worker, **fields):
     worker._client = Answers(200, {'clockMs': 1, **fields})
-    return result_of(worker.look(type('Look', (), LOOK)))
+    return result_of(worker.poll(type('PollRequest', (), LOOK)))
 
 
 @pytest.mark.parametrize('how', ['odd', '', None, 7, [], {}])
@@ -144,10 +144,10 @@
         listing = look(worker, finished=[ENDED, odd])
     assert [end.number for end in listing.ends] == [58]
     ends.add(listing.ends[0])
-    ends.pass_over(listing.last_void)
-    assert ends.recorded() == 57
+    ends.skip(listing.last_unidentified_end)
+    assert ends.durable_up_to() == 57
     ends.forget([58])
-    assert ends.recorded() == 59
+    assert ends.durable_up_to() == 59
     assert len(errors) == 1
 
 
@@ -158,7 +158,7 @@
         listing = look(worker, running=[odd, RUNS], finished=[ENDED])
     assert [row.task for row in listing.rows] == [TASK]
     assert len(listing.ends) == 1
-    assert not listing.is_whole and len(errors) == 1
+    assert not listing.is_complete and len(errors) == 1
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
 )
 def test_a_task_of_an_odd_row_is_known_to_run(row):
     listing = look(worker_with(None), running=[row])
-    assert listing.is_whole and listing.rows[0].task == TASK
+    assert listing.is_complete and listing.rows[0].task == TASK
     table = AttemptTable()
     assert table.listed(listing.rows[0], 0).number == 0
 
@@ -188,7 +188,7 @@
         if not isinstance(fields, dict):
             continue
         worker._client = Answers(200, fields)
-        listing = result_of(worker.look(type('Look', (), LOOK)))
+        listing = result_of(worker.poll(type('PollRequest', (), LOOK)))
         assert isinstance(listing, Listing) or listing.check(WorkerUnreachable)
 
 
--- a/tests/test_border_store.py
+++ b/tests/test_border_store.py
@@ -41,7 +41,7 @@
     rows = [stored('a', value=value), stored('b')]
     answers = Answers(200, {'ver': 9, 'rows': rows})
     page = result_of(store_with(answers).read('t', 'p'))
-    assert [row.place.key for row in page.rows] == ['a', 'b']
+    assert [row.row_key.key for row in page.rows] == ['a', 'b']
     assert [row.text for row in page.rows] == ['', 'text']
     assert page.rows[0].version == 4 and len(errors) == 1
 
@@ -59,9 +59,9 @@
 def test_a_row_that_lies_nowhere_hides_no_other(row, errors):
     answers = Answers(200, {'ver': 9, 'rows': [row, stored('b')]})
     page = result_of(store_with(answers).read('t', 'p'))
-    assert [each.place.key for each in page.rows] == ['b']
+    assert [each.row_key.key for each in page.rows] == ['b']
     changes = result_of(store_with(answers).changes('t', 1, 0))
-    assert [each.place.key for each in changes.rows] == ['b']
+    assert [each.row_key.key for each in changes.rows] == ['b']
     assert len(errors) == 2
 
 
--- a/tests/test_colocation_bench.py
+++ b/tests/test_colocation_bench.py
@@ -9,7 +9,7 @@
 from bench.colocation import play, table
 from bench.colocation_variants import AS_IT_IS
 from hyssopring.jobs.model import Size, Step
-from hyssopring.jobs.worker_port import Start
+from hyssopring.jobs.worker_port import StartRequest
 from standins.jobs.interference import Interference
 from standins.jobs.shared_worker import KeeperTimes, SharedWorker
 from standins.jobs.book import Book
@@ -63,7 +63,7 @@
         Site(interference),
     )
     for task in ('k.0.0.0', 'f.0.0.0'):
-        start = Start(worker.boot, 1, task, 1, 'x', '', 100_000)
+        start = StartRequest(worker.boot, 1, task, 1, 'x', '', 100_000)
         book.sizes[task.split('.')[0]] = Size()
         worker.start(start)
     run(reactor, worker, 1)
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -4,7 +4,7 @@
 import random
 
 from hyssopring.membership import AgentRecord, BackendView
-from hyssopring.placement.interference import Interference
+from hyssopring.placement.interference import InterferenceTracker
 from hyssopring.placement.share_control import ShareControl
 from hyssopring.placement.slowdown import SlowdownModel
 from hyssopring.placement.tail_guard import TailGuard
@@ -63,23 +63,26 @@
 
 
 def test_noisy_template_is_kept_away_and_a_quiet_one_is_not():
-    interference = Interference(learned({'scan': 3.0, 'feed': 0.1}))
+    interference = InterferenceTracker(learned({'scan': 3.0, 'feed': 0.1}))
     record = report(vm(), feed=4.0)
     interference.on_heartbeat(record, 1000)
     size = Resources(4, 4)
-    scan = interference.harm_of('t/scan', 1000)
+    scan = interference.template_slowdown('t/scan', 1000)
     assert scan.predict(record, size) is None
-    assert scan.without_limit().predict(record, size) > 0.5
-    assert interference.harm_of('t/feed', 1000).predict(record, size) < 0.2
+    assert scan.unlimited().predict(record, size) > 0.5
+    assert (
+        interference.template_slowdown('t/feed', 1000).predict(record, size)
+        < 0.2
+    )
 
 
 def test_starts_under_way_count_before_reports_show_them():
     """A wave of scans is placed within one heartbeat. No report shows the
     first ones yet; without counting them all would land beside one service."""
-    interference = Interference(learned({'scan': 1.0}))
+    interference = InterferenceTracker(learned({'scan': 1.0}))
     record = report(vm())
     interference.on_heartbeat(record, 1000)
-    harm = interference.harm_of('t/scan', 1000)
+    harm = interference.template_slowdown('t/scan', 1000)
     size, placed = Resources(1, 1), 0
     while harm.predict(record, size) is not None and placed < 16:
         harm.take(record, size)
@@ -95,7 +98,7 @@
     for seed in range(300):
         part = random.Random(seed).uniform(0, 0.5)
         model.observe('t/booking', 0.0, {'scan': part}, 40 * math.exp(part / 9))
-    interference = Interference(model)
+    interference = InterferenceTracker(model)
     control = ShareControl(interference)
     for load, expected in ((0.0, False), (0.7, True), (0.0, False)):
         for beat in range(30):
@@ -108,14 +111,16 @@
 
 def guard_run(tails, **cores):
     """Feed a guard one report a second; return the steps with their times."""
-    interference = Interference(learned({'scan': 0.5, 'feed': 0.5}))
+    interference = InterferenceTracker(learned({'scan': 0.5, 'feed': 0.5}))
     guard = TailGuard(interference)
     steps = []
     for second, tail in enumerate(tails):
         record = report(vm(), 0.5, tail, **cores)
-        interference.beside('agent-0').load_by_service['t/booking'] = 0.5
+        interference.colocated_load('agent-0').load_by_service['t/booking'] = (
+            0.5
+        )
         past = {name: size / 16 for name, size in cores.items()}
-        interference.beside('agent-0').past_by_template = past
+        interference.colocated_load('agent-0').past_by_template = past
         step = guard.review(record, 1000.0 * second)
         if step is not None:
             steps.append((second, step))
@@ -141,13 +146,13 @@
     """The tail calms as soon as scans are throttled and rises whenever their
     share is given back. Without growing pauses the guard would swing for
     ever between the two."""
-    interference = Interference(learned({'scan': 0.5}))
+    interference = InterferenceTracker(learned({'scan': 0.5}))
     guard = TailGuard(interference)
     changes, share = [], 1.0
     for second in range(1200):
         tail = 150.0 if share > 0.5 else 50.0
         record = report(vm(), 0.5, tail, scan=8.0)
-        beside = interference.beside('agent-0')
+        beside = interference.colocated_load('agent-0')
         beside.load_by_service['t/booking'] = 0.5
         beside.past_by_template = {'scan': 0.5}
         step = guard.review(record, 1000.0 * second)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -121,7 +121,7 @@
     deployment.run(1)
     answers = []
     entry = deployment.entries['entry-1']
-    entry.core.desk.cancel(job.job_id, 1e12).addCallback(answers.append)
+    entry.core.job_api.cancel(job.job_id, 1e12).addCallback(answers.append)
     deployment.run(2)
     assert answers[0].unwrap() is True
     assert not any(worker.runs for worker in deployment.workers)
@@ -131,7 +131,7 @@
 def test_cancelling_what_nobody_handed_in_is_answered_as_unknown():
     deployment = settled()
     answers = []
-    desk = deployment.entries['entry-1'].core.desk
+    desk = deployment.entries['entry-1'].core.job_api
     desk.cancel('00000000000000aa', 1e12).addCallback(answers.append)
     deployment.run(1)
     assert answers[0].unwrap() is False
@@ -152,7 +152,7 @@
     deployment = settled()
     owner = deployment.owner
     other = next(name for name in deployment.entries if name != owner)
-    deployment.entries[other].core.desk._peers = DeafPeers()
+    deployment.entries[other].core.job_api._peers = DeafPeers()
     job = a_job()
     deployment.submit(job, other)
     deployment.run(0.1)
--- a/tests/test_jobs_absences.py
+++ b/tests/test_jobs_absences.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from hyssopring.jobs.documents import AgentRow, RosterRow, UnreadableRow
+from hyssopring.jobs.documents import AgentRow, RosterRow, MalformedRowError
 from hyssopring.jobs.row_keys import agent_key, owner_key, roster_key
 from hyssopring.jobs.rows import RowPut, Transaction
-from hyssopring.jobs.times import LOST_AFTER_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
 FOREVER_MS = 1e9
 AWAY = 'agent-0'
-LOST_AFTER_S = LOST_AFTER_MS / 1000
+LOST_AFTER_S = GRANT_EXPIRY_MS / 1000
 
 
 def lasting(workers=3, entries=3):
@@ -59,7 +59,7 @@
         deployment.run(0.01)
         for entry in deployment.entries.values():
             for owned in entry.core.owner.shards.by_shard.values():
-                if owned.reign == reign and owned.is_loaded:
+                if owned.epoch == reign and owned.is_loaded:
                     return
     raise AssertionError('there is no such reign')
 
@@ -248,7 +248,7 @@
 )
 def test_a_row_that_cannot_be_read_says_nothing(text):
     """A row of another writer must not shorten a wait."""
-    with pytest.raises(UnreadableRow):
+    with pytest.raises(MalformedRowError):
         AgentRow.from_text(text)
 
 
--- a/tests/test_jobs_advice.py
+++ b/tests/test_jobs_advice.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from hyssopring.jobs.model import Advice, JobState, Schedule, Size
+from hyssopring.jobs.model import AdviceTiming, JobState, Schedule, Size
 from standins.jobs.deployment import WALL_MS, a_job, settled, starts_of
 
-ADVICE = Advice(50, 5, 3000)
+ADVICE = AdviceTiming(50, 5, 3000)
 
 
 def advised_job(number=1, **changes):
@@ -358,7 +358,7 @@
     job = advised_job()
     deployment.submit(job)
     deployment.run(0.3)
-    deployment.entries['entry-0'].core.desk.cancel(
+    deployment.entries['entry-0'].core.job_api.cancel(
         job.job_id, deployment.wall_ms()
     )
     deployment.run(4)
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -71,7 +71,7 @@
     late = worker.announcement()
     worker.crash()
     deployment.run(3)
-    watch = deployment.agents['agent-0'].core.watch
+    watch = deployment.agents['agent-0'].core.monitor
     assert watch.boot == worker.boot
     watch.announce(late)
     deployment.run(1)
@@ -169,7 +169,7 @@
     sent = []
     agent.core._send = lambda entry_id, message: sent.append(message)
     owner = deployment.entries[deployment.owner].core
-    reign = owner.owner.shards.by_shard[0].reign
+    reign = owner.owner.shards.by_shard[0].epoch
     connection = owner.fleet.by_agent['agent-0'].connection
     for index in range(3):
         task = f'{1:016x}.0.0.{index}'
--- a/tests/test_jobs_colocation.py
+++ b/tests/test_jobs_colocation.py
@@ -6,11 +6,11 @@
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.attempts import Attempt, Phase
-from hyssopring.jobs.choice import PlacementRound
-from hyssopring.jobs.harms import Harm, Harms
+from hyssopring.jobs.placement_round import PlacementRound
+from hyssopring.jobs.interference import InterferenceEstimate, InterferenceModel
 from hyssopring.jobs.messages import TaskFacts
 from hyssopring.jobs.model import TaskName
-from hyssopring.jobs.options import NO_HARM
+from hyssopring.jobs.placement_option import NEGLIGIBLE_INTERFERENCE
 from hyssopring.jobs.pacing import Pacer
 from standins.jobs.colocated import FILLER, KEEPER, LOUD, MILD, worker_with
 
@@ -42,7 +42,7 @@
     seen = []
     for tail in tails:
         pacer._clock.advance(FIGURE_MS)
-        pacer.turn([filler, attempt_of(KEEPER, tail, task='keeper')])
+        pacer.tick([filler, attempt_of(KEEPER, tail, task='keeper')])
         seen.append(filler.pace)
         filler.load = 2000 * filler.pace // 100
     return seen
@@ -61,7 +61,7 @@
         for filler in fillers:
             filler.pace = 100
         tail = 95 if loud in fillers else 35 + look % 3
-        pacer.turn([*fillers, attempt_of(KEEPER, tail, task='keeper')])
+        pacer.tick([*fillers, attempt_of(KEEPER, tail, task='keeper')])
     mild.pace = loud.pace = 100
     return pacer, mild, loud
 
@@ -103,7 +103,7 @@
     seen = []
     for tail in (105, 100):
         pacer._clock.advance(FIGURE_MS)
-        pacer.turn([loud, attempt_of(KEEPER, tail, task='keeper')])
+        pacer.tick([loud, attempt_of(KEEPER, tail, task='keeper')])
         seen.append(loud.pace)
     assert 0 < seen[0] < 90
     assert seen == [seen[0]] * 2
@@ -117,10 +117,10 @@
     pacer, _mild, loud = learned_pacer()
     keeper = attempt_of(KEEPER, 105, task='keeper')
     pacer._clock.advance(FIGURE_MS)
-    pacer.turn([loud, keeper])
+    pacer.tick([loud, keeper])
     cut = loud.pace
     pacer._clock.advance(54)
-    pacer.turn([loud, keeper])
+    pacer.tick([loud, keeper])
     assert cut < 100
     assert loud.pace == cut
 
@@ -141,7 +141,7 @@
     """Of nine images two disturbed a keeper, and all were cut alike."""
     pacer, mild, loud = learned_pacer()
     pacer._clock.advance(FIGURE_MS)
-    pacer.turn([mild, loud, attempt_of(KEEPER, 105, task='keeper')])
+    pacer.tick([mild, loud, attempt_of(KEEPER, 105, task='keeper')])
     assert mild.pace == 100
     assert 0 < loud.pace <= 85
 
@@ -156,7 +156,7 @@
     for filler in (mild, loud):
         filler.load = 0
     pacer._clock.advance(FIGURE_MS)
-    pacer.turn([mild, loud, attempt_of(KEEPER, 70, task='keeper')])
+    pacer.tick([mild, loud, attempt_of(KEEPER, 70, task='keeper')])
     assert mild.pace == 100
     assert loud.pace < 100
 
@@ -173,7 +173,7 @@
     clock = ManualClock()
     pacer = pacer_on(clock)
     clock.advance(FIGURE_MS)
-    pacer.turn(
+    pacer.tick(
         [
             filler,
             attempt_of(KEEPER, 0, task='new'),
@@ -185,14 +185,14 @@
 
 def learned_harms():
     """Pairs as they are learned from a worker where fillers come and go."""
-    harms = Harms()
+    harms = InterferenceModel()
     for look in range(40):
         steps = ([], [MILD], [], [LOUD])[look % 4]
         load = 95 if LOUD in steps else 35 + look % 3
         worker = worker_with('seen', KEEPER, *steps, load=load)
-        for placed in worker.fillers():
+        for placed in worker.best_effort_tasks():
             placed.load = 2000
-        harms.look([worker], look * FIGURE_MS)
+        harms.observe_workers([worker], look * FIGURE_MS)
     return harms
 
 
@@ -220,7 +220,7 @@
     """Each core of any filler takes a tenth of headroom, for sure."""
 
     def per_core(self, _keeper, _filler):
-        return Harm(0.1, 0)
+        return InterferenceEstimate(0.1, 0)
 
 
 def test_harmless_fillers_together_leave_a_keeper_headroom():
@@ -252,7 +252,7 @@
 def test_fillers_that_are_held_back_take_the_headroom_that_comes_first():
     """One works at a tenth of its pace; its keeper does well by that."""
     held = worker_with('held', KEEPER, *[MILD] * 6, load=50, pace=10)
-    for placed in held.fillers():
+    for placed in held.best_effort_tasks():
         placed.load = 200
     placement = PlacementRound([held], MildHarms())
     name = TaskName('new', 0, 0, 0)
@@ -274,7 +274,9 @@
 
 
 def test_a_pair_that_was_not_seen_counts_for_harmful():
-    assert learned_harms().per_core('keeper', 'unseen').risk * 2 > (NO_HARM)
+    assert learned_harms().per_core('keeper', 'unseen').upper_bound * 2 > (
+        NEGLIGIBLE_INTERFERENCE
+    )
 
 
 def test_a_new_agent_sets_a_pace_that_it_does_not_know():
@@ -289,5 +291,5 @@
     pacer = pacer_on(clock)
     for _look in range(8):
         clock.advance(FIGURE_MS)
-        pacer.turn([filler])
+        pacer.tick([filler])
     assert filler.pace == 100
--- a/tests/test_jobs_configuration_parts.py
+++ b/tests/test_jobs_configuration_parts.py
@@ -9,7 +9,7 @@
 from hyssopring.jobs.configuration_messages import (
     ConfigurationNotice,
     ConfigurationPart,
-    ConfigurationQuestion,
+    ConfigurationRequest,
     ConfigurationText,
 )
 from hyssopring.jobs.messages import unpack
@@ -103,7 +103,7 @@
     for _part in range(2):
         asker.tell('one', asked(holder, asker.peers.last()[1]))
     asker.clock.advance(0.4)
-    assert asker.peers.last() == ('two', ConfigurationQuestion(SEVEN, 0))
+    assert asker.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
     asker.get_all_from('two', a_holder())
     assert asker.taken == [LARGE]
 
@@ -182,18 +182,18 @@
     asker = Asker()
     asker.tell('one', odd)
     assert not asker.taken
-    assert asker.peers.last() == ('two', ConfigurationQuestion(SEVEN, 0))
+    assert asker.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
 
 
 def test_parts_that_nobody_asked_for_are_dropped():
     asker = Asker()
-    asker.tell('three', asked(a_holder(), ConfigurationQuestion(SEVEN, 0)))
+    asker.tell('three', asked(a_holder(), ConfigurationRequest(SEVEN, 0)))
     assert len(asker.peers.sent) == 1
 
 
 def test_a_part_that_there_is_not_is_not_answered():
-    assert asked(a_holder(), ConfigurationQuestion(SEVEN, 99)) is None
-    assert asked(a_holder(), ConfigurationQuestion(EIGHT, 0)) is None
+    assert asked(a_holder(), ConfigurationRequest(SEVEN, 99)) is None
+    assert asked(a_holder(), ConfigurationRequest(EIGHT, 0)) is None
 
 
 @struct
@@ -211,7 +211,7 @@
 
 def test_an_entry_of_the_release_before_can_read_a_question():
     """It knows no parts, passes the field over, and gives the whole text."""
-    payload = write_struct(ConfigurationQuestion(SEVEN, 3))
+    payload = write_struct(ConfigurationRequest(SEVEN, 3))
     question = read_struct(_QuestionWithoutParts, payload)
     assert question == _QuestionWithoutParts(SEVEN)
 
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -102,7 +102,7 @@
     deployment, number, worker = with_keepers()
     agent = deployment.agents[f'agent-{number}']
     deployment.entries[deployment.owner].core.release()
-    agent.core.watch.withdraw(worker.boot)
+    agent.core.monitor.withdraw(worker.boot)
     worker.is_dark = True
     for run in list(worker.runs.values()):
         worker.end(run, AttemptEnd.STOPPED)
@@ -192,7 +192,9 @@
     core = owner.core
     for worker in core.fleet.by_agent.values():
         for placed in list(worker.placed_by_task.values()):
-            core.owner._reader.gone(worker, placed, 'a wrong belief')
+            core.owner._reader.record_worker_lost(
+                worker, placed, 'a wrong belief'
+            )
     core.owner._planner._plan()
     deployment.run(0.03)
     deployment.block('agent-0', owner.name)
--- a/tests/test_jobs_load.py
+++ b/tests/test_jobs_load.py
@@ -9,18 +9,18 @@
 from twisted.internet.task import Clock
 
 from hyssopring.clock import ManualClock
-from hyssopring.jobs.advice_port import NoAdvice
-from hyssopring.jobs.book import JobRecord
-from hyssopring.jobs.choice import PlacementRound
+from hyssopring.jobs.advice_client import UnconfiguredAdviceClient
+from hyssopring.jobs.job_record import JobRecord
+from hyssopring.jobs.placement_round import PlacementRound
 from hyssopring.jobs.documents import JobRow
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.harms import Harms
+from hyssopring.jobs.interference import InterferenceModel
 from hyssopring.jobs.messages import (
     AttemptReport,
     StopOrder,
 )
 from hyssopring.jobs.model import AttemptEnd, Job, Queue, Size, TaskName
-from hyssopring.jobs.options import Option
+from hyssopring.jobs.placement_option import PlacementOption
 from hyssopring.jobs.owner import JobOwner
 from hyssopring.jobs.planning import StepPlanner
 from hyssopring.jobs.urgency import urgency
@@ -76,7 +76,9 @@
     assert chosen(FILLER, worker) is None
     for placed in worker.placed_by_task.values():
         placed.reports = 9
-    assert worker.fillers()[0].cpu_in_use == FILLER.size.cpu_millis / 2
+    assert (
+        worker.best_effort_tasks()[0].cpu_in_use == FILLER.size.cpu_millis / 2
+    )
 
 
 def test_half_of_what_keepers_reserve_is_there_for_fillers():
@@ -87,7 +89,7 @@
     calm = [KEEPER] * 5
     harmless = replace(FILLER, size=Size(2000, 500, 0), image='mild')
     worker = worker_with('reserved', *calm, *[harmless] * 2, load=20)
-    option = Option.from_worker(worker, Harms())
+    option = PlacementOption.from_worker(worker, InterferenceModel())
     assert option.idle == 16_000 / 2 - 2 * 2000 + 500
 
 
@@ -162,13 +164,13 @@
     workers; how many steps waited was not counted, 150 is this test's figure.
     """
     looks = []
-    allows = Option.allows
+    allows = PlacementOption.allows
 
     def counted(option, *given):
         looks.append(option)
         return allows(option, *given)
 
-    monkeypatch.setattr(Option, 'allows', counted)
+    monkeypatch.setattr(PlacementOption, 'allows', counted)
     full = [worker_with(f'w{number}', *[KEEPER] * 5) for number in range(61)]
     placement = PlacementRound(full)
     for number in range(150):
@@ -201,7 +203,7 @@
 
     planner._plan = plan
     for _millisecond in range(500):
-        planner.plan_soon()
+        planner.schedule_planning()
         reactor.advance(0.001)
     gaps = [later - earlier for earlier, later in pairwise(rounds)]
     assert len(gaps) > 5
@@ -221,11 +223,18 @@
         return True
 
     owner = JobOwner(
-        None, clock, fleet, send, lambda: True, lambda: 0, print, NoAdvice()
+        None,
+        clock,
+        fleet,
+        send,
+        lambda: True,
+        lambda: 0,
+        print,
+        UnconfiguredAdviceClient(),
     )
     held = worker_with('00000000', KEEPER, step)
     task, placed = list(held.placed_by_task.items())[1]
-    placed.take(
+    placed.update(
         AttemptReport(task, 1, '', percent, 0, placed_at_pace, True),
         clock.now(),
         silent_ms=0,
@@ -233,10 +242,10 @@
     for worker in (held, quiet_worker):
         fleet.by_agent[worker.agent_id] = worker
     owner.shards.by_shard[0] = type(
-        'Owned', (), {'shard': 0, 'reign': 1, 'roster': fleet.by_agent}
+        'Owned', (), {'shard': 0, 'epoch': 1, 'roster': fleet.by_agent}
     )()
     clock.advance(slow_ms)
-    owner._moves.relieve(fleet.takers())
+    owner._moves.relieve(fleet.schedulable_workers())
     return stops
 
 
--- a/tests/test_jobs_locations.py
+++ b/tests/test_jobs_locations.py
@@ -9,11 +9,11 @@
 from hyssopring.jobs.model import Size
 from hyssopring.jobs.row_keys import agent_key, owner_key, roster_key
 from hyssopring.jobs.rows import RowPut, Transaction
-from hyssopring.jobs.times import LOST_AFTER_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
 FOREVER_MS = 1e9
-LOST_AFTER_S = LOST_AFTER_MS / 1000
+LOST_AFTER_S = GRANT_EXPIRY_MS / 1000
 ROOM = Size(16_000, 64_000, 4)
 
 
@@ -57,7 +57,7 @@
         deployment.run(0.01)
         for entry in deployment.entries.values():
             for owned in entry.core.owner.shards.by_shard.values():
-                if entry.is_alive and owned.reign == reign and owned.is_loaded:
+                if entry.is_alive and owned.epoch == reign and owned.is_loaded:
                     return owned
     raise AssertionError('there is no such owner')
 
@@ -131,7 +131,7 @@
     """Rows would grow by each job that ever lasted."""
     deployment, job = lasting(count=1)
     number = holder(deployment, f'{job.job_id}.0.0.0')
-    desk = deployment.entries[deployment.owner].core.desk
+    desk = deployment.entries[deployment.owner].core.job_api
     desk.cancel(job.job_id, 1e12)
     deployment.run(3)
     assert listed(deployment, number) == set()
@@ -186,7 +186,7 @@
     owned = run_until_loaded(deployment, 3)
     assert not roster_row(deployment).is_complete
     waiting = next(iter(owned.by_job[job.job_id].job.tasks(0, 0)))
-    assert owned.holders(waiting) == owned.unheard
+    assert owned.possible_agents(waiting) == owned.unreported
     deployment.heal('agent-0')
     deployment.run(25)
     assert roster_row(deployment).is_complete
@@ -203,7 +203,7 @@
     deployment.cut_off('agent-0')
     deployment.kill_entry(deployment.owner)
     owned = run_until_loaded(deployment, 2)
-    assert not owned.locations.holders('any', {'agent-0'}) == set()
+    assert not owned.locations.possible_agents('any', {'agent-0'}) == set()
     deployment.run(0.1)
     assert not roster_row(deployment).is_complete
 
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -10,11 +10,11 @@
     AgentGreeting,
     EndsRecorded,
     EntryGreeting,
-    ReportQuestion,
-    ShardReign,
+    ReportRequest,
+    ShardEpoch,
 )
 from hyssopring.jobs.model import AttemptEnd, JobState
-from hyssopring.jobs.taken_orders import TakenOrders
+from hyssopring.jobs.received_starts import ReceivedStarts
 from hyssopring.jobs.worker_port import StartOutcome
 from standins.jobs.deployment import a_job, settled, starts_of
 
@@ -28,7 +28,7 @@
 
 
 def cancel(deployment, job):
-    deployment.entries['entry-0'].core.desk.cancel(job.job_id, 1e9)
+    deployment.entries['entry-0'].core.job_api.cancel(job.job_id, 1e9)
 
 
 def test_a_stop_that_the_worker_refuses_for_its_fence_is_sent_again():
@@ -132,7 +132,7 @@
     deployment.run(0.3)
     agent = deployment.agents['agent-0']
     owned = deployment.entries['entry-0'].core.owner.shards.by_shard[0]
-    question = ReportQuestion([ShardReign(0, owned.reign)], 'earlier/1')
+    question = ReportRequest([ShardEpoch(0, owned.epoch)], 'earlier/1')
     agent.core.take(question, 'entry-0')
     deployment.run(0.5)
     job = a_job(number=2, steps=((1, ()),))
@@ -150,13 +150,13 @@
 
 def test_a_start_of_an_earlier_connection_is_void():
     """It would be counted among the starts of the new connection."""
-    taken = TakenOrders()
+    taken = ReceivedStarts()
     taken.begin('entry', 'old')
-    assert taken.take('entry', 'old')
+    assert taken.record('entry', 'old')
     taken.begin('entry', 'new')
-    assert not taken.take('entry', 'old')
+    assert not taken.record('entry', 'old')
     assert taken.count('entry') == 0
-    assert taken.take('entry', 'new')
+    assert taken.record('entry', 'new')
     assert taken.count('entry') == 1
 
 
@@ -193,13 +193,13 @@
         lambda entry_id, message: heard.append(message),
         closed.append,
     )
-    dialler.learn(['old:1', 'new:1'])
+    dialler.add_addresses(['old:1', 'new:1'])
     old, new = dialler._by_address['old:1'], dialler._by_address['new:1']
     for dialled in (old, new):
         connection = DeafConnection()
         dialled._opened(connection)
         dialled._received(connection, EntryGreeting('entry'))
-    old._received(old.connection, ReportQuestion([]))
+    old._received(old.connection, ReportRequest([]))
     assert not heard
     old._closed(old.connection)
     assert dialler.connected == ['entry']
@@ -239,9 +239,9 @@
     deployment.run(0.5)
     worker = deployment.entries['entry-0'].core.fleet.by_agent['agent-0']
     (placed,) = worker.placed_by_task.values()
-    assert worker.has_taken(placed, worker.report)
+    assert worker.has_received(placed, worker.report)
     earlier = replace(worker.report, connection='earlier/1')
-    assert not worker.has_taken(placed, earlier)
+    assert not worker.has_received(placed, earlier)
 
 
 def test_an_agent_that_wakes_reads_before_it_judges_its_worker():
@@ -253,7 +253,7 @@
     deployment, _job = one(work_ms=20_000)
     deployment.run(1)
     agent = deployment.agents['agent-0']
-    watch, lapses = agent.core.watch, []
+    watch, lapses = agent.core.monitor, []
     watch.on_lapse = lambda: lapses.append(deployment.reactor.seconds())
     deployment.workers[0].is_dark = True
     deployment.run(0.7)
--- a/tests/test_jobs_lost_vms.py
+++ b/tests/test_jobs_lost_vms.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hyssopring.jobs.times import LOST_AFTER_MS, ROSTER_WAIT_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS, ROSTER_WAIT_MS
 from standins.jobs.deployment import Deployment, a_job, settled
 
 FOREVER_MS = 1e9
@@ -145,7 +145,7 @@
     deployment.run(1.5)
     kill_owner(deployment, back_s=0.7)
     run_until_owned(deployment)
-    left_s = lost_at + LOST_AFTER_MS / 1000 - deployment.reactor.seconds()
+    left_s = lost_at + GRANT_EXPIRY_MS / 1000 - deployment.reactor.seconds()
     deployment.run(left_s + RESTART_S)
     assert running(deployment, job) == set(range(5))
 
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -6,12 +6,12 @@
 from owner_support import busy, run_until_taken, silence, start_one, three
 
 from hyssopring.clock import ManualClock
-from hyssopring.jobs.documents import EntryRow, FormerReign, OwnerRow
-from hyssopring.jobs.former_owner import FormerOwner, ShardReign
-from hyssopring.jobs.messages import AgentGrant, ShardGivenUp
+from hyssopring.jobs.documents import EntryRow, FormerOwnerProcess, OwnerRow
+from hyssopring.jobs.former_owner import FormerOwner, AcquiredShard
+from hyssopring.jobs.messages import AgentGrant, ShardReleased
 from hyssopring.jobs.model import AttemptEnd
 from hyssopring.jobs.peer_entries import PeerEntries
-from hyssopring.jobs.row_keys import wait_key
+from hyssopring.jobs.row_keys import former_owners_key
 from hyssopring.jobs.rows import Row, RowKey, RowPut, Transaction
 from standins.jobs.deployment import starts_of
 
@@ -62,7 +62,7 @@
     deployment.run(0.2)
     owned = successor.core.owner.shards.by_shard[0]
     assert owned.is_loaded
-    assert owned.unheard == {'agent-0'}
+    assert owned.unreported == {'agent-0'}
 
 
 def test_a_former_owner_that_had_just_begun_tells_how_long_to_wait():
@@ -72,10 +72,10 @@
     for VMs that were gone, though the former owner had to wait 8.4 s only.
     """
     clock = ManualClock(0)
-    before = FormerReign('b', 'process', 1)
-    taken = ShardReign(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
+    before = FormerOwnerProcess('b', 'process', 1)
+    taken = AcquiredShard(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
     former = FormerOwner(clock, taken)
-    told = ShardGivenUp(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
+    told = ShardReleased(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
     former.gave_up(told, 0)
     clock.advance(8335)
     assert former.until('not-heard') < clock.now()
@@ -127,7 +127,7 @@
     deployment.run(4)
     owned = deployment.entries[successor.name].core.owner.shards.by_shard[0]
     assert owned.former.is_over
-    assert not owned.unheard
+    assert not owned.unreported
 
 
 def test_two_owners_that_were_killed_are_not_waited_for_once_they_are_back():
@@ -204,7 +204,7 @@
     for no owner at all, the next one would run tasks beside it.
     """
     deployment, former, (successor,) = three()
-    deployment.rows.apply(Transaction((), (RowPut(wait_key(0), ''),)))
+    deployment.rows.apply(Transaction((), (RowPut(former_owners_key(0), ''),)))
     deployment.kill_entry(former.name)
     run_until_taken(deployment, [successor])
     deployment.start_entry(former.name)
@@ -213,7 +213,7 @@
     assert not owned.former.is_over
     assert owned.former.wait_ms > 12_000
     deployment.run(15)
-    assert wait_key(0) not in deployment.rows.rows
+    assert former_owners_key(0) not in deployment.rows.rows
 
 
 def test_an_owner_hands_on_what_the_one_before_said_of_an_unheard_agent():
--- a/tests/test_jobs_relay.py
+++ b/tests/test_jobs_relay.py
@@ -7,7 +7,7 @@
 from hyssopring.jobs.messages import pack
 from hyssopring.jobs.model import JobState
 from hyssopring.jobs.relay import RelayedStore
-from hyssopring.jobs.relay_messages import RelayedAnswer, RelayedRead
+from hyssopring.jobs.relay_messages import RelayedResponse, RelayedRead
 from hyssopring.jobs.relayed_calls import answer_of, outcome_of
 from hyssopring.jobs.rows import Changes, Page, Row, RowKey, StoreRefused
 from standins.jobs.deployment import a_job, settled, starts_of
@@ -99,12 +99,16 @@
     reactor, direct, peer = Clock(), _Direct(), _Peer()
     store = RelayedStore(reactor, ReactorClock(reactor), direct, peer)
     waits = [store.changes('op', 0, 800)]
-    store.answered(RelayedAnswer(peer.asked[0].number, 'changes', 1, [], False))
+    store.answered(
+        RelayedResponse(peer.asked[0].number, 'changes', 1, [], False)
+    )
     waits.append(store.changes('op', 1, 800))
     direct.is_away = False
     reactor.advance(1.1)
     store.read('op', '')
-    store.answered(RelayedAnswer(peer.asked[1].number, 'changes', 2, [], False))
+    store.answered(
+        RelayedResponse(peer.asked[1].number, 'changes', 2, [], False)
+    )
     asked, calls = len(peer.asked), direct.calls
     store.read('op', '')
     assert len(peer.asked) == asked
@@ -155,7 +159,7 @@
     deployment.run(0.5)
     counts = []
     entry = deployment.entries[another_than(deployment, owner)]
-    entry.core.desk.pending('queue').addCallback(counts.append)
+    entry.core.job_api.pending('queue').addCallback(counts.append)
     deployment.run(1)
     assert counts[0].unwrap_err().answer.status == 503
 
@@ -173,7 +177,7 @@
     outcomes = []
     entry = deployment.entries['entry-0']
     until = entry.clock.now() + 1300
-    entry.core.desk.submit(job, until).addCallback(outcomes.append)
+    entry.core.job_api.submit(job, until).addCallback(outcomes.append)
     deployment.run(1.4)
     assert outcomes[0].unwrap_err().answer.status == 504
 
@@ -202,7 +206,7 @@
     store.read('op', '').addErrback(lambda failure: None)
     reactor.advance(1.6)
     assert [name for name, _number in peers.asked] == ['silent', 'served']
-    store.answered(RelayedAnswer(peers.asked[1][1], 'page', 1, [], False))
+    store.answered(RelayedResponse(peers.asked[1][1], 'page', 1, [], False))
     reactor.advance(0.3)
     store.read('op', '').addErrback(lambda failure: None)
     assert peers.asked[2][0] == 'served'
--- a/tests/test_jobs_returning_workers.py
+++ b/tests/test_jobs_returning_workers.py
@@ -178,17 +178,17 @@
 
 def lose_first_acknowledgement(worker, late_s):
     """Let the first one be carried out late; return a list that shows it."""
-    look_as_before = worker.look
+    look_as_before = worker.poll
     lost = []
 
     def look(asked):
-        if asked.recorded and not lost:
+        if asked.acked_through and not lost:
             lost.append(asked)
             worker.late_s = late_s
             worker.lose_looks = 1
         return look_as_before(asked)
 
-    worker.look = look
+    worker.poll = look
     return lost
 
 
@@ -264,11 +264,11 @@
     worker, agent = deployment.workers[0], deployment.agents['agent-0']
     late = {**report_fields(worker), 'state': 'draining'}
     restart_all(deployment)
-    boot = agent.core.watch.boot
+    boot = agent.core.monitor.boot
     post_report(agent.reports, worker.boot, late)
     post_report(agent.reports, worker.boot, late, 'deregister')
     deployment.run(1)
-    assert agent.core.watch.boot == boot
+    assert agent.core.monitor.boot == boot
     job = a_job(2)
     deployment.submit(job)
     deployment.run(4)
@@ -340,8 +340,8 @@
     worker, agent = deployment.workers[0], deployment.agents['agent-0']
     worker.lose_looks = 1
     deployment.run(0.02)
-    former = agent.core.watch.boot
+    former = agent.core.monitor.boot
     worker.crash()
     agent.beat()
     deployment.run(0.03)
-    assert agent.core.watch.boot != former
+    assert agent.core.monitor.boot != former
--- a/tests/test_jobs_stalls.py
+++ b/tests/test_jobs_stalls.py
@@ -1,7 +1,7 @@
 """A process that is behind judges nobody by silence."""
 
 from hyssopring.clock import ManualClock
-from hyssopring.jobs.stalls import StallWatch
+from hyssopring.jobs.stall_detector import StallDetector
 from standins.jobs.deployment import a_job, settled, starts_of
 
 
@@ -41,14 +41,14 @@
     told = []
     for gap_ms in gaps_ms:
         clock.advance(gap_ms)
-        told.append(watch.has_kept_up())
+        told.append(watch.record_tick())
     return told
 
 
 def test_a_process_judges_again_after_turns_in_time():
     """What came during a stall must have been read before silence counts."""
     clock = ManualClock(0)
-    watch = StallWatch(clock)
+    watch = StallDetector(clock)
     assert turns(clock, watch, 200, 900) == [True, False]
     assert turns(clock, watch, 200, 200, 200) == [False, False, True]
     assert turns(clock, watch, 900, 200, 900) == [False, False, False]
@@ -58,7 +58,7 @@
 def test_a_process_that_is_late_again_and_again_judges_all_the_same():
     """It never gave a lost VM up, and all earlier jobs waited for that one."""
     clock = ManualClock(0)
-    watch = StallWatch(clock)
+    watch = StallDetector(clock)
     told = turns(clock, watch, *(20 * [700, 200]))
     assert not any(told[:4])
     assert sum(told) >= 4
--- a/tests/test_jobs_store_time.py
+++ b/tests/test_jobs_store_time.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hyssopring.clock import ManualClock
-from hyssopring.jobs.store_time import StoreTime
+from hyssopring.jobs.store_clock import StoreClock
 
 
 @pytest.mark.parametrize('drift', [0.98, 1, 1.02])
@@ -15,24 +15,24 @@
     writer, reader = ManualClock(1_000), ManualClock(1_000)
     sent_at = writer.now()
     writer.advance(300)
-    written = StoreTime(writer)
-    written.take(store(sent_at + taken_after_ms), sent_at)
+    written = StoreClock(writer)
+    written.update(store(sent_at + taken_after_ms), sent_at)
     over_at = writer.now() + 8_000
-    told_ms = written.latest(over_at)
+    told_ms = written.latest_reading(over_at)
     sent_at = reader.now() + 4_000
     reader.advance(4_300)
-    read = StoreTime(reader)
-    read.take(store(sent_at + taken_after_ms), sent_at)
-    assert read.reached(told_ms) >= over_at
-    assert read.reached(told_ms) <= over_at + 1_000
+    read = StoreClock(reader)
+    read.update(store(sent_at + taken_after_ms), sent_at)
+    assert read.passed_at(told_ms) >= over_at
+    assert read.passed_at(told_ms) <= over_at + 1_000
 
 
 def test_an_answer_without_a_reading_changes_nothing():
     """A relayed answer tells no time."""
     clock = ManualClock(0)
-    times = StoreTime(clock)
-    times.take(None, 0)
+    times = StoreClock(clock)
+    times.update(None, 0)
     assert not times.is_known
-    times.take(70, 0)
-    times.take(None, 0)
-    assert times.latest(0) == 70
+    times.update(70, 0)
+    times.update(None, 0)
+    assert times.latest_reading(0) == 70
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -6,7 +6,7 @@
 from hyssopring.jobs.documents import JobRow
 from hyssopring.jobs.model import JobState, Schedule
 from hyssopring.jobs.rows import Committed
-from hyssopring.jobs.times import LAPSED_MS
+from hyssopring.jobs.times import HOLD_EXPIRY_MS
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 from standins.jobs.rows import MemoryRows
 
@@ -417,7 +417,7 @@
     deployment.workers[0].is_dark = True
     deployment.run(7)
     fleet_worker = core.fleet.by_agent['agent-0']
-    assert fleet_worker.report.silent_ms > LAPSED_MS
+    assert fleet_worker.report.silent_ms > HOLD_EXPIRY_MS
     assert listed_agents(deployment) == ['agent-0']
     deployment.run(2)
     assert not listed_agents(deployment)
--- a/tests/test_jobs_unheard_grants.py
+++ b/tests/test_jobs_unheard_grants.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 
 from hyssopring.jobs.rows import StoreRefused
-from hyssopring.jobs.times import LOST_AFTER_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS
 from standins.jobs.deployment import Deployment, a_job, settled
 from standins.jobs.rows import RowsClient
 
@@ -67,7 +67,7 @@
         if known and known.granted_at:
             break
     deployment.run(0.05)
-    assert LATE in owned.unheard
+    assert LATE in owned.unreported
     return owned
 
 
@@ -80,7 +80,7 @@
     deployment = lasting()
     granted_unheard(deployment)
     deployment.cut_off(LATE)
-    deployment.run(LOST_AFTER_MS / 1000 + 12)
+    deployment.run(GRANT_EXPIRY_MS / 1000 + 12)
 
 
 def test_a_planned_stop_tells_of_grants_to_agents_that_were_not_heard():
@@ -94,7 +94,7 @@
     deployment.cut_off(LATE)
     entry = deployment.entries[deployment.owner]
     entry.reactor.run(entry.core.release)
-    deployment.run(LOST_AFTER_MS / 1000 + 12)
+    deployment.run(GRANT_EXPIRY_MS / 1000 + 12)
 
 
 def test_two_planned_stops_in_a_row_forget_no_grant():
@@ -113,7 +113,7 @@
         run_until_loaded(deployment)
         deployment.run(0.3)
         deployment.kill_entry(name)
-    deployment.run(LOST_AFTER_MS / 1000 + 12)
+    deployment.run(GRANT_EXPIRY_MS / 1000 + 12)
 
 
 class RetriedLoad:
@@ -179,4 +179,4 @@
     deployment.cut_off(LATE)
     owned = run_until_loaded(deployment)
     assert owned.roster.over_at(LATE) is None
-    deployment.run(LOST_AFTER_MS / 1000 + 10)
+    deployment.run(GRANT_EXPIRY_MS / 1000 + 10)
--- a/tests/test_jobs_waits.py
+++ b/tests/test_jobs_waits.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from hyssopring.jobs.measures import JobMeasures
+from hyssopring.jobs.job_metrics import JobMetrics
 from hyssopring.jobs.model import Size
-from hyssopring.jobs.waits import WaitReason
+from hyssopring.jobs.keeper_waits import WaitReason
 from hyssopring.logs import Event, _emit, listen_to_events
 from hyssopring.metrics import Metrics
 from standins.jobs.deployment import Deployment, a_job, settled
@@ -125,7 +125,9 @@
 def test_waits_are_counted_by_their_reason():
     """An alert needs a series, not lines."""
     metrics = Metrics()
-    measures = JobMeasures(metrics)
-    measures.take(Event.TASK_WAITING, {'reason': WaitReason.UNHEARD.value})
+    measures = JobMetrics(metrics)
+    measures.record_event(
+        Event.TASK_WAITING, {'reason': WaitReason.UNHEARD.value}
+    )
     name = 'lasting_tasks_waited_total{reason="unheard"}'
     assert metrics.counter(name) == 1
--- a/tests/test_keeper_watch.py
+++ b/tests/test_keeper_watch.py
@@ -18,7 +18,7 @@
 
 def an_owner():
     """An entry that owns the shard all the while."""
-    shards = SimpleNamespace(by_shard={0: SimpleNamespace(reign=1)})
+    shards = SimpleNamespace(by_shard={0: SimpleNamespace(epoch=1)})
     core = SimpleNamespace(owner=SimpleNamespace(shards=shards))
     return SimpleNamespace(is_alive=True, core=core)
 
--- a/tests/test_look_retries.py
+++ b/tests/test_look_retries.py
@@ -1,10 +1,10 @@
 """How soon a look is repeated, and how long each one may take."""
 
-from hyssopring.jobs.look_retries import ANSWER_MS, LookRetries
+from hyssopring.jobs.poll_backoff import ANSWER_MS, PollBackoff
 
 
 def test_times_double_up_to_their_limits():
-    retries = LookRetries()
+    retries = PollBackoff()
     first = retries.answer_ms
     for _each in range(20):
         retries.failed()
--- a/tests/test_lost_vms.py
+++ b/tests/test_lost_vms.py
@@ -34,7 +34,7 @@
         """Somebody owns the shard from now on, or nobody."""
         self.shards.clear()
         if reign:
-            self.shards[0] = SimpleNamespace(reign=reign)
+            self.shards[0] = SimpleNamespace(epoch=reign)
 
     def until(self, seconds):
         """Look several times a second until then."""
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -4,7 +4,7 @@
 import re
 import tomllib
 
-from hyssopring.jobs.measures import JobMeasures
+from hyssopring.jobs.job_metrics import JobMetrics
 from hyssopring.logs import Event
 from hyssopring.metrics import Metrics
 from hyssopring.platform.metrics import METRICS_PATH
@@ -29,14 +29,14 @@
 
 def counted():
     metrics = Metrics()
-    measures = JobMeasures(metrics)
+    measures = JobMetrics(metrics)
     for event in Event:
-        measures.take(
+        measures.record_event(
             event,
             {'state': 'completed', 'age_ms': 9, 'due_ms': 5, 'how': 'done'},
         )
-    measures.take(Event.TASK_PLACED, {'report_age_ms': 7})
-    measures.take(Event.ADVICE_GIVEN, {'took_ms': 7})
+    measures.record_event(Event.TASK_PLACED, {'report_age_ms': 7})
+    measures.record_event(Event.ADVICE_GIVEN, {'took_ms': 7})
     return metrics
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hyssopring.clock import ManualClock
-from hyssopring.membership import EntryDirectory, beat_interval
+from hyssopring.membership import EntryDirectory, heartbeat_interval_ms
 from hyssopring.membership.subset import FULL_MESH, choose_entries
 from hyssopring.protocol.messages import EntryMember
 from standins.virtual import BALANCER, VirtualBackend, VirtualDeployment
@@ -228,7 +228,7 @@
 
 
 def test_pace_of_heartbeats_follows_the_number_of_agents():
-    assert [beat_interval(n) for n in (3, 100, 250, 1020)] == [
+    assert [heartbeat_interval_ms(n) for n in (3, 100, 250, 1020)] == [
         1000,
         1000,
         2500,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,9 +5,13 @@
 
 from hyssopring.configuration import ConfigurationState, JobSubmission
 from hyssopring.membership import AgentRecord
-from hyssopring.placement.choice import Candidate, WorkerRanking, why_impossible
+from hyssopring.placement.worker_ranking import (
+    Candidate,
+    WorkerRanking,
+    infeasibility_reason,
+)
 from hyssopring.placement.quarantine import WorkerHealth
-from hyssopring.placement.quotas import TeamUse
+from hyssopring.placement.quotas import TeamUsage
 from hyssopring.placement.sizes import LearnedSizes
 from hyssopring.protocol.messages import (
     ConfigurationItem,
@@ -109,9 +113,9 @@
 def test_task_too_large_for_every_worker_is_explained():
     policy = feed_state().policy('trust/feed')
     agents = [record('a', 'r0', capacity=Resources(2, 60))]
-    why = why_impossible(policy, policy.size, agents)
+    why = infeasibility_reason(policy, policy.size, agents)
     assert 'needs 4.0 cores' in why and 'has 2.0' in why
-    assert not why_impossible(policy, Resources(2, 2), agents)
+    assert not infeasibility_reason(policy, Resources(2, 2), agents)
 
 
 def test_sizes_grow_to_what_is_used_and_never_below_declared():
@@ -123,7 +127,7 @@
 
 
 def test_quota_counts_reports_and_own_starts():
-    use = TeamUse(feed_state(), [record('a', 'r0', usage=(used(1, 4),))])
+    use = TeamUsage(feed_state(), [record('a', 'r0', usage=(used(1, 4),))])
     assert not use.refusal('trust', 6)
     use.add('trust', 4)
     assert use.refusal('trust', 6).startswith('quota of trust: 8.0 of 10.0')
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,9 +9,16 @@
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock
 
-from hyssopring.jobs.advice_port import AdviceUnavailable, Question
+from hyssopring.jobs.advice_client import AdviceUnavailable, AdviceQuery
 from hyssopring.jobs.documents import JobRow
-from hyssopring.jobs.model import Advice, AttemptEnd, Job, Queue, Size, Step
+from hyssopring.jobs.model import (
+    AdviceTiming,
+    AttemptEnd,
+    Job,
+    Queue,
+    Size,
+    Step,
+)
 from hyssopring.jobs.rows import (
     Conflict,
     RowCheck,
@@ -20,7 +27,11 @@
     StoreUncertain,
     Transaction,
 )
-from hyssopring.jobs.worker_port import Start, StartOutcome, WorkerReplaced
+from hyssopring.jobs.worker_port import (
+    StartRequest,
+    StartOutcome,
+    WorkerReplaced,
+)
 from hyssopring.metrics import Metrics
 from hyssopring.platform.advice import PlatformAdvice, advice_port
 from hyssopring.platform.callers import read_job
@@ -126,7 +137,7 @@
         and job.steps[1].after == (0,)
         and job.steps[1].saves
     )
-    assert job.chain_ms == 7900
+    assert job.critical_path_ms == 7900
 
 
 @pytest.mark.parametrize(
@@ -238,7 +249,7 @@
     return worker
 
 
-START = Start('i-1', 7, '5c0e7a21d94b36f8.0.1.17', 2, 'text', '', 486000)
+START = StartRequest('i-1', 7, '5c0e7a21d94b36f8.0.1.17', 2, 'text', '', 486000)
 
 
 @pytest.mark.parametrize(
@@ -265,7 +276,7 @@
     assert answers.calls[0][2]['ticket'] == 'c81e-7a21d94b'
 
 
-QUESTION = Question('5c0e7a21d94b36f8.0.1', ('i-1', 'i-2'), 250)
+QUESTION = AdviceQuery('5c0e7a21d94b36f8.0.1', ('i-1', 'i-2'), 250)
 
 
 def advice_with(answers):
@@ -331,13 +342,13 @@
     }
     table = read_configuration(json.dumps(document))
     queue = table.find('h.example', '/a/x').queue
-    assert queue.advice == Advice(120, 4.5, 3000)
+    assert queue.advice == AdviceTiming(120, 4.5, 3000)
     assert table.find('h.example', '/b/x').queue.advice is None
 
 
 def test_a_stored_job_keeps_its_queue_s_advice_and_older_rows_are_read():
     plain = Queue('q', 's', 0, 1, 2, 100)
-    for queue in (plain, replace(plain, advice=Advice(120, 4.5, 3000))):
+    for queue in (plain, replace(plain, advice=AdviceTiming(120, 4.5, 3000))):
         row = JobRow(Job('1' * 16, queue, 'x', (Step(1, Size(1)),)), 5)
         assert JobRow.from_text(row.to_text()) == row
     assert (
@@ -361,7 +372,7 @@
         'finished': [[58, '5c0e7a21d94b36f8.0.1.9', 1, 'lapsed', '']],
     }
     listing = result_of(
-        worker_with(Answers(200, fields)).look(type('Look', (), LOOK))
+        worker_with(Answers(200, fields)).poll(type('PollRequest', (), LOOK))
     )
     assert listing.rows[0].percent == 41 and listing.rows[0].load == 1000
     assert listing.ends[0].how is AttemptEnd.LOST
@@ -370,8 +381,8 @@
 LOOK = {
     'boot': 'i-1',
     'fence': 1,
-    'recorded': 0,
-    'until_ms': None,
+    'acked_through': 0,
+    'hold_until_ms': None,
     'wait_ms': 0,
-    'answer_ms': 700,
+    'timeout_ms': 700,
 }
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -24,7 +24,7 @@
     Hello,
     Resources,
 )
-from hyssopring.routing import Admission, BackendSelector, SendBudget
+from hyssopring.routing import AdmissionControl, BackendSelector, RetryBudget
 
 SERVICE = 'trust/booking'
 
@@ -61,12 +61,12 @@
     def send(self):
         view = self.choose().backend
         self.sent += 1
-        self.selector.sent(view, f'r{self.sent}', self.now)
+        self.selector.on_sent(view, f'r{self.sent}', self.now)
         return view, f'r{self.sent}'
 
     def answer(self, view, request_id, outcome='answered', error=''):
         response = CallResponse(request_id, outcome, 200, error=error)
-        self.selector.heard(view.agent, response, self.now)
+        self.selector.on_response(view.agent, response, self.now)
 
     def serve(self, rounds, took=lambda agent_id: 20.0, each=None):
         chosen = []
@@ -150,13 +150,13 @@
 
     Without the budget the retries double the load on what is left.
     """
-    budget = SendBudget()
+    budget = RetryBudget()
     extra = 0
     for _ in range(1000):
-        budget.succeeded()
-        extra += budget.take() + budget.take()
+        budget.on_success()
+        extra += budget.try_spend() + budget.try_spend()
     assert extra <= 110
-    assert not budget.take()
+    assert not budget.try_spend()
 
 
 def admission(document='{}', entries=1):
@@ -170,8 +170,8 @@
     )
     state.apply(ConfigurationUpdate(0, 1, items))
     clock = ManualClock()
-    admit = Admission(clock, state)
-    admit.entries = entries
+    admit = AdmissionControl(clock, state)
+    admit.entry_count = entries
     return admit, state.policy(SERVICE), clock
 
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -6,7 +6,7 @@
 
 from hyssopring.configuration import JobSubmission
 from hyssopring.errors import ErrorKind
-from hyssopring.placement import LeaseTimes, journal, shard_plan
+from hyssopring.placement import LeaseTimes, chunk_writer, shard_plan
 from hyssopring.protocol.messages import Resources
 from standins.virtual import AgentNode, VirtualBackend, VirtualDeployment
 
@@ -265,7 +265,7 @@
 def test_planner_dies_between_a_jobs_chunks(monkeypatch):
     """A job of 300 tasks has 64 for ever: its planner died after the first
     row, and the letter that told of the job was gone."""
-    monkeypatch.setattr(journal, '_MAX_CHUNKS', 1)
+    monkeypatch.setattr(chunk_writer, '_MAX_CHUNKS', 1)
     deployment = deployed(run_ms=200.0)
     submit(deployment, 300, entry=1)
     while len(deployment.table.read('chunks/')) < 2 + 1:
--- a/tests/test_worker_deaths.py
+++ b/tests/test_worker_deaths.py
@@ -4,7 +4,7 @@
 
 from hyssopring.jobs.fleet import Fleet
 from hyssopring.jobs.messages import WorkerReport
-from hyssopring.jobs.worker_deaths import WorkerDeaths
+from hyssopring.jobs.worker_crashes import WorkerCrashes
 
 AGENTS = 11
 START = 100_000
@@ -47,7 +47,7 @@
     def __init__(self):
         self.clock = StillClock()
         self.fleet = Fleet(self.clock)
-        self.deaths = WorkerDeaths(self.clock, self.fleet)
+        self.deaths = WorkerCrashes(self.clock, self.fleet)
         for number in range(AGENTS):
             worker = self.fleet.connected(f'agent-{number}', 'zone')
             worker.report = report('first')
@@ -56,7 +56,7 @@
     def tell(self, number, trials=(), **fields):
         worker = self.fleet.by_agent[f'agent-{number}']
         told = report(**fields)
-        self.deaths.take(worker, told, trials)
+        self.deaths.record_report(worker, told, trials)
         worker.report = told
         worker.reported_at = self.clock.at
 
--- a/tests/test_worker_lives.py
+++ b/tests/test_worker_lives.py
@@ -3,13 +3,13 @@
 import pytest
 
 from hyssopring.jobs.attempts import Attempt, Phase
-from hyssopring.jobs.worker_lives import PastLife
+from hyssopring.jobs.past_incarnation import PastIncarnation
 
 HEARD_AT = 10_000
 
 
 def past(failing_since=None, is_planned=False):
-    return PastLife('boot', HEARD_AT, failing_since, is_planned)
+    return PastIncarnation('boot', HEARD_AT, failing_since, is_planned)
 
 
 def attempt(ordered_at, is_confirmed=True, tries=1):
