--- a/hyssopring/placement/__init__.py
+++ b/hyssopring/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement decisions and the plans of the held shards."""
+"""Place tasks on workers and plan the shards that this entry holds."""
 
 from hyssopring.placement.lease_times import LeaseTimes
 from hyssopring.placement.planner import Planner, shard_of
--- a/hyssopring/placement/assigner.py
+++ b/hyssopring/placement/assigner.py
@@ -1,4 +1,4 @@
-"""Places waiting tasks on workers, in rounds."""
+"""Assign waiting tasks to workers in rounds."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -7,36 +7,36 @@
 from hyssopring.agent.making_room import URGENT
 from hyssopring.configuration import ServicePolicy
 from hyssopring.logs import Event, log_event
-from hyssopring.placement.worker_ranking import (
-    Candidate,
-    Placement,
-    WorkerRanking,
-    infeasibility_reason,
-)
 from hyssopring.placement.interference import (
     InterferenceTracker,
     TemplateSlowdown,
 )
-from hyssopring.placement.preemption import place_by_making_room
+from hyssopring.placement.pending_starts import PendingStarts
+from hyssopring.placement.ports import PlannerPorts
+from hyssopring.placement.preemption import place_by_preemption
 from hyssopring.placement.quotas import TeamUsage
 from hyssopring.placement.records import TaskState
-from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.shard_plan import ShardPlan
 from hyssopring.placement.sizes import LearnedSizes
 from hyssopring.placement.task_index import PlannedTask
-from hyssopring.placement.pending_starts import PendingStarts
+from hyssopring.placement.worker_ranking import (
+    Candidate,
+    Placement,
+    WorkerRanking,
+    infeasibility_reason,
+)
 from hyssopring.protocol.messages import Resources
 from hyssopring.tasks import TaskKind
 
 __all__ = ('Assigner',)
 
-# While nothing could be placed, the same tasks are not tried each tick.
-_IDLE_ROUND_MS = 100.0
+# Pause before a round is repeated for a backlog that could not be placed.
+_BACKLOG_RETRY_MS = 100.0
 
 
 @dataclass(slots=True)
-class _Group:
-    """Waiting tasks of one job: all alike."""
+class _JobGroup:
+    """Waiting tasks of one job, which share a policy and a size."""
 
     policy: ServicePolicy
     size: Resources
@@ -48,17 +48,24 @@
 
 
 @dataclass(slots=True)
-class _Round:
-    """What one round of placing works with."""
+class _PlacementRound:
+    """State of one placement round.
 
-    now: float
+    Attributes:
+        now_ms: Clock time of the round, in milliseconds.
+        candidate_by_agent: Workers that may receive tasks.
+        team_usage: Cores in use by team, including this round's starts.
+        placed_count: Number of tasks assigned so far.
+    """
+
+    now_ms: float
     candidate_by_agent: dict[str, Candidate]
-    team_use: TeamUsage
-    placed: int = 0
+    team_usage: TeamUsage
+    placed_count: int = 0
 
 
 class Assigner:
-    """Chooses a worker for each waiting task, most urgent first."""
+    """Choose a worker for each waiting task, most urgent first."""
 
     def __init__(
         self,
@@ -66,56 +73,64 @@
         interference: InterferenceTracker,
         sizes: LearnedSizes,
     ) -> None:
-        """Use the fleet, the configuration and what was learned of both."""
+        """Create an assigner.
+
+        Args:
+            ports: Clock, fleet, configuration and worker health.
+            interference: Predicts how tasks slow the services on a worker.
+            sizes: Task sizes learned from measured use.
+        """
         self._ports = ports
         self._interference = interference
         self._sizes = sizes
-        self._under_way = PendingStarts(ports.fleet)
-        self._idle_until: float = 0
-        self._idle_waiting = 0
+        self._pending_starts = PendingStarts(ports.fleet)
+        self._skip_until_ms: float = 0
+        self._unplaced_count = 0
 
     def place_waiting(self, plans: Sequence[ShardPlan]) -> None:
-        """Assign what can be placed; note for the rest why it waits."""
-        now = self._ports.clock.now()
-        waiting = [task for plan in plans for task in plan.index.waiting(now)]
-        is_same = len(waiting) == self._idle_waiting
-        if not waiting or (is_same and now < self._idle_until):
+        """Assign the tasks that fit and record why the others wait."""
+        now_ms = self._ports.clock.now()
+        waiting = [
+            task for plan in plans for task in plan.index.waiting(now_ms)
+        ]
+        is_same_backlog = len(waiting) == self._unplaced_count
+        if not waiting or (is_same_backlog and now_ms < self._skip_until_ms):
             return
-        placing = self._begin(now)
-        for group in self._ordered(waiting, placing):
-            self._place_group(group, placing)
-        self._idle_waiting = len(waiting) - placing.placed
-        self._idle_until = now + _IDLE_ROUND_MS
+        placement_round = self._start_round(now_ms)
+        for group in self._ordered_groups(waiting, placement_round):
+            self._place_group(group, placement_round)
+        self._unplaced_count = len(waiting) - placement_round.placed_count
+        self._skip_until_ms = now_ms + _BACKLOG_RETRY_MS
 
-    def _begin(self, now: float) -> _Round:
-        """Count room, less the starts that no report shows so far."""
+    def _start_round(self, now_ms: float) -> _PlacementRound:
+        """Collect usable workers and subtract starts not yet reported."""
         agents = self._ports.fleet.agents
-        promised_by_agent = self._under_way.promised(now)
+        reserved_by_agent = self._pending_starts.reserved_by_agent(now_ms)
         health = self._ports.health
-        team_use = TeamUsage(self._ports.configuration, agents)
-        for start in self._under_way.starts:
-            team_use.add(start.team, start.size.cores)
+        team_usage = TeamUsage(self._ports.configuration, agents)
+        for start in self._pending_starts.starts:
+            team_usage.add(start.team, start.size.cores)
         candidate_by_agent = {
             record.agent_id: Candidate(
                 record,
-                record.free.minus(promised)
-                if (promised := promised_by_agent.get(record.agent_id))
+                record.free.minus(reserved)
+                if (reserved := reserved_by_agent.get(record.agent_id))
                 else record.free,
                 is_probe=health.is_quarantined(record.agent_id),
             )
             for record in agents
             if record.worker_boot
             and not record.is_stopping
-            and health.is_usable(record.agent_id, now)
+            and health.is_usable(record.agent_id, now_ms)
         }
-        return _Round(now, candidate_by_agent, team_use)
+        return _PlacementRound(now_ms, candidate_by_agent, team_usage)
 
-    def _ordered(
+    def _ordered_groups(
         self,
         waiting: Iterable[PlannedTask],
-        placing: _Round,
-    ) -> list[_Group]:
-        """Group by job; most urgent, then least used quota, then oldest."""
+        placement_round: _PlacementRound,
+    ) -> list[_JobGroup]:
+        """Group tasks by job, sorted by urgency, used quota, waiting time."""
         tasks_by_job: dict[str, list[PlannedTask]] = {}
         for planned in waiting:
             tasks_by_job.setdefault(planned.chunk.job_id, []).append(planned)
@@ -124,148 +139,163 @@
             service_name = tasks[0].chunk.service_name
             policy = self._ports.configuration.policy(service_name)
             if policy is None:
-                _explain(tasks, 'its template or parameters were withdrawn')
+                _record_reason(
+                    tasks, 'its template or parameters were withdrawn'
+                )
                 continue
             size = self._sizes.needed(service_name, policy.size)
-            groups.append(_Group(policy, size, tasks))
+            groups.append(_JobGroup(policy, size, tasks))
         groups.sort(
             key=lambda group: (
                 -group.policy.urgency,
-                placing.team_use.part(group.policy.team),
+                placement_round.team_usage.used_fraction(group.policy.team),
                 group.waiting[0].task.waiting_since,
             ),
         )
         return groups
 
-    def _place_group(self, group: _Group, placing: _Round) -> None:
-        why = self._impossible(group)
-        if why:
-            _explain(group.waiting, why)
+    def _place_group(
+        self, group: _JobGroup, placement_round: _PlacementRound
+    ) -> None:
+        reason = self._infeasibility(group)
+        if reason:
+            _record_reason(group.waiting, reason)
             return
-        ranking = self._rank(group, placing, self._harm(group, placing))
+        ranking = self._rank(
+            group, placement_round, self._slowdown(group, placement_round)
+        )
         for index, planned in enumerate(group.waiting):
-            why = placing.team_use.refusal(group.policy.team, group.size.cores)
+            reason = placement_round.team_usage.refusal_reason(
+                group.policy.team, group.size.cores
+            )
             placement = (
-                Placement(None, why)
-                if why
-                else self._choose(planned, group, ranking, placing)
+                Placement(None, reason)
+                if reason
+                else self._choose(planned, group, ranking, placement_round)
             )
             if placement.agent is not None:
-                self._assign(planned, group, placement, placing)
+                self._assign(planned, group, placement, placement_round)
                 continue
-            if not planned.task.avoid_until_by_agent or why:
-                # The others are alike and fare alike.
-                _explain(group.waiting[index:], placement.why)
+            if not planned.task.avoid_until_by_agent or reason:
+                # The remaining tasks have the same size and no exclusions.
+                _record_reason(group.waiting[index:], placement.reason)
                 return
-            _explain([planned], placement.why)
+            _record_reason([planned], placement.reason)
 
-    def _impossible(self, group: _Group) -> str:
+    def _infeasibility(self, group: _JobGroup) -> str:
         agents = self._ports.fleet.agents
-        why = infeasibility_reason(group.policy, group.size, agents)
-        if why and group.size != group.policy.size:
-            # What was learned must not make a task impossible.
+        reason = infeasibility_reason(group.policy, group.size, agents)
+        if reason and group.size != group.policy.size:
+            # A learned size must not make a task infeasible.
             group.size = group.policy.size
-            why = infeasibility_reason(group.policy, group.size, agents)
-        return why
+            reason = infeasibility_reason(group.policy, group.size, agents)
+        return reason
 
-    def _harm(self, group: _Group, placing: _Round) -> TemplateSlowdown:
-        """Keepers, urgent tasks and a template's only task are not held up.
+    def _slowdown(
+        self, group: _JobGroup, placement_round: _PlacementRound
+    ) -> TemplateSlowdown:
+        """Predict the slowdown; limit it only where a task may wait.
 
-        The last: a template that hurts a service everywhere would otherwise
-        never run at all. One task of it does, where it hurts least.
+        Keepers, urgent tasks and the only task of a template are placed
+        without a limit. A template that slows a service on every worker would
+        otherwise never run: one task of it runs where the slowdown is smallest.
         """
         service_name = group.policy.service_name
-        harm = self._interference.template_slowdown(service_name, placing.now)
-        is_held_up = not (
+        slowdown = self._interference.template_slowdown(
+            service_name, placement_round.now_ms
+        )
+        is_limited = not (
             group.is_keeper or group.policy.urgency >= URGENT
-        ) and self._interference.is_running(harm.template, placing.now)
-        return harm if is_held_up else harm.unlimited()
+        ) and self._interference.is_running(
+            slowdown.template, placement_round.now_ms
+        )
+        return slowdown if is_limited else slowdown.unlimited()
 
     def _rank(
         self,
-        group: _Group,
-        placing: _Round,
-        harm: TemplateSlowdown,
+        group: _JobGroup,
+        placement_round: _PlacementRound,
+        slowdown: TemplateSlowdown,
     ) -> WorkerRanking:
         zones = group.policy.zones
         return WorkerRanking(
             group.size,
             [
                 candidate
-                for candidate in placing.candidate_by_agent.values()
+                for candidate in placement_round.candidate_by_agent.values()
                 if not zones or candidate.agent.zone in zones
             ],
-            self._load_by_rack(group.waiting[0]),
-            harm,
+            self._task_count_by_rack(group.waiting[0]),
+            slowdown,
         )
 
     def _choose(
         self,
         planned: PlannedTask,
-        group: _Group,
+        group: _JobGroup,
         ranking: WorkerRanking,
-        placing: _Round,
+        placement_round: _PlacementRound,
     ) -> Placement:
         avoided = [
             agent_id
-            for agent_id, until in planned.task.avoid_until_by_agent.items()
-            if until > placing.now
+            for agent_id, until_ms in planned.task.avoid_until_by_agent.items()
+            if until_ms > placement_round.now_ms
         ]
         placement = ranking.choose(avoided)
         if placement.agent is None and group.policy.urgency >= URGENT:
-            made = place_by_making_room(
+            preempting = place_by_preemption(
                 group.policy,
                 group.size,
-                placing.candidate_by_agent.values(),
+                placement_round.candidate_by_agent.values(),
                 avoided,
             )
-            return made or placement
+            return preempting or placement
         return placement
 
     def _assign(
         self,
         planned: PlannedTask,
-        group: _Group,
+        group: _JobGroup,
         placement: Placement,
-        placing: _Round,
+        placement_round: _PlacementRound,
     ) -> None:
         assert placement.agent is not None
         agent_id = placement.agent.agent_id
         team = group.policy.team
         planned.plan.assign(planned, agent_id, group.policy, group.size)
-        placing.placed += 1
-        placing.team_use.add(team, group.size.cores)
-        self._under_way.add(planned, team, group.size)
-        self._ports.health.on_assigned(agent_id, placing.now)
+        placement_round.placed_count += 1
+        placement_round.team_usage.add(team, group.size.cores)
+        self._pending_starts.add(planned, team, group.size)
+        self._ports.health.on_assigned(agent_id, placement_round.now_ms)
         log_event(
             Event.TASK_PLACED,
             task=planned.task.task_id,
             attempt=planned.task.attempt,
             agent=agent_id,
-            why=placement.why,
+            why=placement.reason,
         )
 
-    def _load_by_rack(self, planned: PlannedTask) -> Counter[str]:
-        load: Counter[str] = Counter()
+    def _task_count_by_rack(self, planned: PlannedTask) -> Counter[str]:
+        task_count_by_rack: Counter[str] = Counter()
         for chunk in planned.plan.index.job_chunks(planned.chunk.job_id):
             for task in chunk.tasks:
                 if task.state is TaskState.ASSIGNED:
                     record = self._ports.fleet.agent(task.agent_id)
-                    load[record.rack if record else ''] += 1
-        return load
+                    task_count_by_rack[record.rack if record else ''] += 1
+        return task_count_by_rack
 
 
-def _explain(waiting: Sequence[PlannedTask], why: str) -> None:
-    """Keep the reason with each task; one log line says it for all."""
-    is_news = False
+def _record_reason(waiting: Sequence[PlannedTask], reason: str) -> None:
+    """Record the reason on each task and log it once for the group."""
+    is_new_reason = False
     for planned in waiting:
-        if planned.task.why_waiting != why:
-            planned.task.why_waiting = why
-            is_news = True
-    if is_news:
+        if planned.task.why_waiting != reason:
+            planned.task.why_waiting = reason
+            is_new_reason = True
+    if is_new_reason:
         log_event(
             Event.TASK_UNPLACED,
             task=waiting[0].task.task_id,
             tasks=len(waiting),
-            why=why,
+            why=reason,
         )
--- a/hyssopring/placement/chunk_writer.py
+++ b/hyssopring/placement/chunk_writer.py
@@ -1,7 +1,7 @@
-"""Writes a planner's chunks to the table, many in one transaction.
+"""Write a planner's chunks to the table, many in one transaction.
 
-Each transaction checks the shard's row, so a planner that was deposed can
-record nothing: its writes conflict and it drops the shard.
+Each transaction checks the version of the shard's row. A planner that has
+lost the shard gets a conflict, records nothing and drops the shard.
 """
 
 from collections import defaultdict
@@ -31,7 +31,7 @@
 
 
 class ChunkWriter:
-    """Keeps one shard's chunks in step with the table."""
+    """Write one shard's modified chunks to the table."""
 
     def __init__(
         self,
@@ -40,7 +40,15 @@
         is_current: Callable[[], bool],
         on_fenced: Callable[[int], None],
     ) -> None:
-        """Write under the held shard's epoch."""
+        """Create a writer.
+
+        Args:
+            store: The table store.
+            held: The shard, with the epoch and row version to write under.
+            is_current: Whether this planner still holds a valid lease.
+            on_fenced: Called with the shard when a write shows that another
+                planner has taken it.
+        """
         self._store = store
         self._held = held
         self._is_current = is_current
@@ -49,98 +57,101 @@
         self._dirty_by_key: dict[str, Chunk] = {}
         self._actions_by_key: defaultdict[str, list[_Action]]
         self._actions_by_key = defaultdict(list)
-        self._chunk_keys_by_extra: dict[str, frozenset[str]] = {}
-        self._ready: list[_Action] = []
+        self._chunk_keys_by_deletion: dict[str, frozenset[str]] = {}
+        self._due_actions: list[_Action] = []
 
-    def mark(self, chunk: Chunk, action: _Action | None = None) -> None:
-        """Write a chunk soon; then, and not before, run ``action``."""
+    def mark_dirty(self, chunk: Chunk, action: _Action | None = None) -> None:
+        """Schedule a chunk to be written; run ``action`` once it is stored."""
         self._dirty_by_key.setdefault(chunk.key, chunk)
         if action is not None:
             self._actions_by_key[chunk.key].append(action)
 
-    def delete_after(self, key: str, chunks: Sequence[Chunk]) -> None:
-        """Delete another row no sooner than these chunks are written.
+    def delete_row_after(self, key: str, chunks: Sequence[Chunk]) -> None:
+        """Delete a row no earlier than these chunks are written.
 
-        A job of many chunks takes many transactions. With its inbox row gone
-        before the last, a planner that dies in between loses tasks.
+        A job of many chunks takes several transactions. If its inbox row were
+        deleted before the last one, a planner that crashes in between would
+        lose tasks.
         """
         chunk_keys = frozenset(chunk.key for chunk in chunks)
-        self._chunk_keys_by_extra[key] = chunk_keys
+        self._chunk_keys_by_deletion[key] = chunk_keys
 
     def flush(self) -> None:
-        """Write what is dirty, the oldest first; one write at a time."""
-        self._run_ready()
+        """Write modified chunks, oldest first, one transaction at a time."""
+        self._run_due_actions()
         if self._is_writing:
             return
         batch = list(self._dirty_by_key.values())[:_MAX_CHUNKS]
-        later = self._dirty_by_key.keys() - {chunk.key for chunk in batch}
-        extra = [
+        remaining = self._dirty_by_key.keys() - {chunk.key for chunk in batch}
+        deletions = [
             key
-            for key, chunk_keys in self._chunk_keys_by_extra.items()
-            if chunk_keys.isdisjoint(later)
+            for key, chunk_keys in self._chunk_keys_by_deletion.items()
+            if chunk_keys.isdisjoint(remaining)
         ]
-        if batch or extra:
-            self._write(batch, extra)
+        if batch or deletions:
+            self._write(batch, deletions)
 
-    def _write(self, batch: list[Chunk], extra: list[str]) -> None:
+    def _write(self, batch: list[Chunk], deletions: list[str]) -> None:
         self._is_writing = True
         actions_by_key: dict[str, list[_Action]] = {}
         checks = [Check(shard_key(self._held.shard), self._held.row_version)]
-        puts = [Put(key, None) for key in extra]
+        puts = [Put(key, None) for key in deletions]
         for chunk in batch:
             self._dirty_by_key.pop(chunk.key)
             actions_by_key[chunk.key] = self._actions_by_key.pop(chunk.key, [])
             checks.append(Check(chunk.key, chunk.row_version))
-            document = None if chunk.is_forgotten else chunk.to_document()
+            document = None if chunk.is_deleted else chunk.to_document()
             puts.append(Put(chunk.key, document))
         transaction = Transaction(tuple(checks), tuple(puts))
         for written in batch:
-            written.operations.add(transaction.operation)
+            written.unconfirmed_writes.add(transaction.operation)
         self._store.commit(
             transaction,
-            lambda answer: self._written(batch, extra, actions_by_key, answer),
+            lambda response: self._on_written(
+                batch, deletions, actions_by_key, response
+            ),
         )
 
-    def _written(
+    def _on_written(
         self,
         batch: list[Chunk],
-        extra: list[str],
+        deletions: list[str],
         actions_by_key: dict[str, list[_Action]],
-        answer: Result[Committed | Conflict, Failure],
+        response: Result[Committed | Conflict, Failure],
     ) -> None:
         self._is_writing = False
-        outcome = answer.unwrap_or(None)
+        outcome = response.unwrap_or(None)
         if isinstance(outcome, Committed):
-            for key in extra:
-                self._chunk_keys_by_extra.pop(key, None)
+            for key in deletions:
+                self._chunk_keys_by_deletion.pop(key, None)
             for chunk in batch:
                 chunk.row_version = outcome.version_by_key[chunk.key]
-                chunk.operations.clear()
-                self._ready.extend(actions_by_key[chunk.key])
-            self._run_ready()
+                chunk.unconfirmed_writes.clear()
+                self._due_actions.extend(actions_by_key[chunk.key])
+            self._run_due_actions()
             return
         for unwritten in batch:
             key = unwritten.key
             self._dirty_by_key.setdefault(key, unwritten)
-            newer = self._actions_by_key[key]
-            self._actions_by_key[key] = actions_by_key[key] + newer
+            newer_actions = self._actions_by_key[key]
+            self._actions_by_key[key] = actions_by_key[key] + newer_actions
         if outcome is not None:
-            self._conflict(batch, outcome)
+            self._handle_conflict(batch, outcome)
 
-    def _run_ready(self) -> None:
-        """Run what is due now, or at the next flush under a good lease.
+    def _run_due_actions(self) -> None:
+        """Run due actions if the lease is valid, else keep them.
 
-        The answer may come after a pause in which this planner was deposed;
-        what it would send then is the next planner's to decide.
+        The store may answer after a pause in which another planner took the
+        shard. Only that planner may then send commands to agents.
         """
         if self._is_current():
-            ready = self._ready
-            self._ready = []
-            for action in ready:
+            due_actions = self._due_actions
+            self._due_actions = []
+            for action in due_actions:
                 action()
 
-    def _conflict(self, batch: list[Chunk], conflict: Conflict) -> None:
-        """Adopt own writes whose answers were lost; else we were fenced."""
+    def _handle_conflict(self, batch: list[Chunk], conflict: Conflict) -> None:
+        """Accept own writes whose answers were lost; else report fencing."""
         chunk_by_key = {chunk.key: chunk for chunk in batch}
         for row in conflict.rows:
             chunk = chunk_by_key.get(row.key)
@@ -151,5 +162,5 @@
 
 
 def _is_own(chunk: Chunk, row: Row) -> bool:
-    is_deleted = chunk.is_forgotten and not row.version
-    return is_deleted or row.operation in chunk.operations
+    is_deletion = chunk.is_deleted and not row.version
+    return is_deletion or row.operation in chunk.unconfirmed_writes
--- a/hyssopring/placement/mitigation.py
+++ b/hyssopring/placement/mitigation.py
@@ -1,9 +1,9 @@
-"""Carries out what heartbeats call for: throttles, and moves, own tasks.
+"""Throttle and move this entry's batch tasks to reduce interference.
 
-Every entry sees every agent's reports and comes to the same shares; each acts
-only on tasks of the shards that it holds, under their epochs. What a message
-that was lost, or a task that started since, leaves behind, the next
-heartbeat's mean share shows.
+Every entry receives every agent's reports and computes the same shares. Each
+entry acts only on tasks of the shards that it holds, under their epochs. If a
+command is lost or a task has started since, the mean share in the next
+heartbeat differs and the command is repeated.
 """
 
 from typing import Iterable
@@ -12,78 +12,81 @@
 from hyssopring.membership import AgentRecord
 from hyssopring.placement.interference import InterferenceTracker, template_of
 from hyssopring.placement.records import TaskState
-from hyssopring.placement.task_index import PlannedTask
 from hyssopring.placement.share_control import ShareControl
 from hyssopring.placement.tail_guard import GuardStep, TailGuard
+from hyssopring.placement.task_index import PlannedTask
 from hyssopring.tasks import TaskKind
 
 __all__ = ('Mitigation',)
 
-_SAME_SHARE = 0.01
-# Memory cannot be throttled: a VM whose tasks use more than it has sheds one,
-# then waits until the measurements can show it.
-_OVERFULL_PART = 0.02
-_SHED_PAUSE_MS = 10_000.0
+_SHARE_TOLERANCE = 0.01
+# Memory cannot be throttled: a VM whose tasks use more memory than it has
+# checkpoints one task, then waits for measurements that include the effect.
+_MEMORY_EXCESS_FRACTION = 0.02
+_MEMORY_EVICTION_INTERVAL_MS = 10_000.0
 
 
 class Mitigation:
-    """Acts on own tasks for the sake of the services beside them."""
+    """Throttle and move batch tasks that slow services on the same VM."""
 
     def __init__(self, interference: InterferenceTracker) -> None:
-        """Decide by what ``interference`` has learned."""
+        """Create a mitigation that uses the model of ``interference``."""
         self.tail_guard = TailGuard(interference)
         self.share_control = ShareControl(interference)
-        self._shed_at_by_agent: dict[str, float] = {}
+        self._memory_evicted_at_by_agent: dict[str, float] = {}
 
     def on_heartbeat(
         self,
         record: AgentRecord,
         own_tasks: Iterable[PlannedTask],
-        now: float,
+        now_ms: float,
     ) -> None:
-        """Take the step that an agent's report calls for.
+        """Throttle or move tasks as an agent's latest report requires.
 
         Args:
             record: The agent, with its latest report.
-            own_tasks: Tasks of the shards that this entry holds; read only
-                when there is something to do.
-            now: Clock milliseconds.
+            own_tasks: Tasks of the shards that this entry holds; iterated
+                only if an action is needed.
+            now_ms: Clock time in milliseconds.
         """
         self.share_control.review(record)
-        step = self.tail_guard.review(record, now)
-        is_overfull = self._is_overfull(record, now)
-        if not (step or is_overfull or self._has_other_share(record)):
+        guard_step = self.tail_guard.review(record, now_ms)
+        is_memory_exceeded = self._is_memory_exceeded(record, now_ms)
+        if not (
+            guard_step or is_memory_exceeded or self._has_other_share(record)
+        ):
             return
-        here = [
+        local_tasks = [
             planned
             for planned in own_tasks
             if planned.task.agent_id == record.agent_id
             and planned.task.state is TaskState.ASSIGNED
             and planned.chunk.kind is TaskKind.BATCH
         ]
-        self._throttle(record, here)
-        if step is not None and step.moves:
-            self._move(here, step)
-        if is_overfull and here:
-            self._shed_at_by_agent[record.agent_id] = now
-            _checkpoint(here[-1], 'the VM uses more memory than it has')
-
-    def forget(self, agent_id: str) -> None:
-        """An agent has gone."""
-        self.tail_guard.forget(agent_id)
-        self.share_control.forget(agent_id)
-        self._shed_at_by_agent.pop(agent_id, None)
+        self._throttle(record, local_tasks)
+        if guard_step is not None and guard_step.evictions:
+            self._evict(local_tasks, guard_step)
+        if is_memory_exceeded and local_tasks:
+            self._memory_evicted_at_by_agent[record.agent_id] = now_ms
+            _evict_task(local_tasks[-1], 'the VM uses more memory than it has')
+
+    def remove_agent(self, agent_id: str) -> None:
+        """Drop the state of an agent that has disconnected."""
+        self.tail_guard.remove_agent(agent_id)
+        self.share_control.remove_agent(agent_id)
+        self._memory_evicted_at_by_agent.pop(agent_id, None)
 
     def _has_other_share(self, record: AgentRecord) -> bool:
+        """Whether a reported share differs from the required one."""
         return any(
             group.kind == TaskKind.BATCH.value
             and abs(group.share - self._share(record, group.service_name))
-            > _SAME_SHARE
+            > _SHARE_TOLERANCE
             for group in record.usage
         )
 
     def _share(self, record: AgentRecord, service_name: str) -> float:
-        """Return the smaller of the learned and the guard's share."""
+        """Return the smaller of the predicted and the reactive share."""
         template = template_of(service_name)
         return min(
             self.share_control.shares(record.agent_id).get(template, 1),
@@ -93,9 +96,9 @@
     def _throttle(
         self,
         record: AgentRecord,
-        here: Iterable[PlannedTask],
+        local_tasks: Iterable[PlannedTask],
     ) -> None:
-        for planned in here:
+        for planned in local_tasks:
             share = self._share(record, planned.chunk.service_name)
             if planned.task.share != share:
                 log_event(
@@ -106,27 +109,32 @@
                 )
             planned.plan.throttle(planned, share)
 
-    def _move(self, here: list[PlannedTask], step: GuardStep) -> None:
-        culprits = [
+    def _evict(
+        self, local_tasks: list[PlannedTask], guard_step: GuardStep
+    ) -> None:
+        template_tasks = [
             planned
-            for planned in here
-            if template_of(planned.chunk.service_name) == step.template
+            for planned in local_tasks
+            if template_of(planned.chunk.service_name) == guard_step.template
         ]
-        for planned in culprits[-step.moves :]:
-            _checkpoint(planned, 'slows a service although throttled')
-
-    def _is_overfull(self, record: AgentRecord, now: float) -> bool:
-        limit = -_OVERFULL_PART * record.capacity.memory_gb
-        shed_at = self._shed_at_by_agent.get(record.agent_id)
-        is_settled = shed_at is None or now - shed_at > _SHED_PAUSE_MS
-        return is_settled and record.free.memory_gb < limit
+        for planned in template_tasks[-guard_step.evictions :]:
+            _evict_task(planned, 'slows a service although throttled')
+
+    def _is_memory_exceeded(self, record: AgentRecord, now_ms: float) -> bool:
+        limit = -_MEMORY_EXCESS_FRACTION * record.capacity.memory_gb
+        evicted_at = self._memory_evicted_at_by_agent.get(record.agent_id)
+        is_measured = (
+            evicted_at is None
+            or now_ms - evicted_at > _MEMORY_EVICTION_INTERVAL_MS
+        )
+        return is_measured and record.free.memory_gb < limit
 
 
-def _checkpoint(planned: PlannedTask, why: str) -> None:
+def _evict_task(planned: PlannedTask, reason: str) -> None:
     log_event(
         Event.TASK_EVICTED,
         task=planned.task.task_id,
         agent=planned.task.agent_id,
-        why=why,
+        why=reason,
     )
     planned.plan.checkpoint(planned)
--- a/hyssopring/placement/pending_starts.py
+++ b/hyssopring/placement/pending_starts.py
@@ -1,10 +1,10 @@
-"""Starts that the agents' reports of free room do not show so far.
+"""Starts that the agents' reported free resources do not include yet.
 
-Guard: a report that was sent before a start arrived still names its room as
-free, and a second task would be sent there only to be refused. A start counts
-until a heartbeat has come after the one that first found it confirmed. One of
-a plan that was dropped with its shard counts no more: nothing would ever
-confirm it here, and its room would be kept from all later tasks.
+A report sent before a start arrived still shows the resources as free, and a
+second task placed there would be refused. A start is therefore counted until
+a heartbeat arrives after its confirmation. Starts of a plan that was dropped
+with its shard are not counted: this entry would never see them confirmed, and
+their resources would stay reserved forever.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class _Start:
+class _PendingStart:
     planned: PlannedTask
     attempt: int
     agent_id: str
@@ -28,33 +28,37 @@
 
 
 class PendingStarts:
-    """This entry's own starts, until reports show them."""
+    """This entry's starts that no report shows yet.
+
+    Attributes:
+        starts: Pending starts, pruned by each call of ``reserved_by_agent``.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
-        """Start with none."""
+        """Start without pending starts."""
         self._fleet = fleet
-        self.starts: list[_Start] = []
+        self.starts: list[_PendingStart] = []
 
     def add(self, planned: PlannedTask, team: str, size: Resources) -> None:
-        """Count a start that was just decided."""
+        """Count a start that was just assigned."""
         task = planned.task
-        start = _Start(planned, task.attempt, task.agent_id, team, size)
+        start = _PendingStart(planned, task.attempt, task.agent_id, team, size)
         self.starts.append(start)
 
-    def promised(self, now: float) -> dict[str, Resources]:
-        """Return the room promised by agent, after dropping what shows."""
+    def reserved_by_agent(self, now_ms: float) -> dict[str, Resources]:
+        """Drop reported starts; return the resources of the others by agent."""
         self.starts = [
-            start for start in self.starts if self._is_hidden(start, now)
+            start for start in self.starts if self._is_unreported(start, now_ms)
         ]
-        promised_by_agent: dict[str, Resources] = {}
+        size_by_agent: dict[str, Resources] = {}
         for start in self.starts:
-            known = promised_by_agent.get(start.agent_id)
-            promised_by_agent[start.agent_id] = (
-                start.size if known is None else known.plus(start.size)
+            reserved = size_by_agent.get(start.agent_id)
+            size_by_agent[start.agent_id] = (
+                start.size if reserved is None else reserved.plus(start.size)
             )
-        return promised_by_agent
+        return size_by_agent
 
-    def _is_hidden(self, start: _Start, now: float) -> bool:
+    def _is_unreported(self, start: _PendingStart, now_ms: float) -> bool:
         task = start.planned.task
         record = self._fleet.agent(start.agent_id)
         is_current = (
@@ -65,6 +69,6 @@
             return False
         if start.confirmed_at is None:
             if task.is_confirmed:
-                start.confirmed_at = now
+                start.confirmed_at = now_ms
             return True
         return record.heard_at <= start.confirmed_at
--- a/hyssopring/placement/planner.py
+++ b/hyssopring/placement/planner.py
@@ -1,4 +1,4 @@
-"""Plans the tasks of the shards that this entry holds."""
+"""Plan the tasks of the shards that this entry holds."""
 
 import zlib
 from functools import partial
@@ -10,36 +10,39 @@
 from hyssopring.leases import HeldShard, ShardHolder
 from hyssopring.membership import AgentRecord
 from hyssopring.placement.assigner import Assigner
-from hyssopring.placement.interference import InterferenceTracker
 from hyssopring.placement.chunk_writer import ChunkWriter
+from hyssopring.placement.interference import InterferenceTracker
+from hyssopring.placement.mitigation import Mitigation
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import TaskState, chunk_prefix
-from hyssopring.placement.mitigation import Mitigation
 from hyssopring.placement.shard_plan import ShardPlan, keeper_job_id
 from hyssopring.placement.sizes import LearnedSizes
-from hyssopring.placement.task_reconciler import GrantKey
 from hyssopring.placement.task_index import PlannedTask
+from hyssopring.placement.task_reconciler import GrantKey
 from hyssopring.protocol.messages import LeaseGrant, TaskReport
 from hyssopring.store import Row, Store
 from hyssopring.tasks import TaskKind
 
 __all__ = ('Planner', 'shard_of')
 
-_SURVEY_MS = 1000.0
-# Longer than any lease: an older grant has lapsed anyway.
-_REMEMBER_GRANTS_MS = 7_200_000.0
+_REVIEW_INTERVAL_MS = 1000.0
+# Longer than any lease, so that a dropped grant has expired.
+_GRANT_RETENTION_MS = 7_200_000.0
+
 
+def shard_of(job_id: str, shard_count: int) -> int:
+    """Return the shard of a job or keeper set.
 
-def shard_of(name: str, shards: int) -> int:
-    """Return the shard of a job or keeper set, the same in every process."""
-    return zlib.crc32(name.encode()) % shards
+    The result does not depend on the process.
+    """
+    return zlib.crc32(job_id.encode()) % shard_count
 
 
 class Planner:
-    """Grants leases, takes reports and keeps the held shards' plans."""
+    """Grant task leases, handle agents' reports and plan the held shards."""
 
     def __init__(self, store: Store, ports: PlannerPorts) -> None:
-        """Take the ports; ``attach`` adds the shard holder."""
+        """Create a planner without shards; call ``attach`` before use."""
         self._store = store
         self._ports = ports
         self._interference = InterferenceTracker()
@@ -47,102 +50,104 @@
         self._mitigation = Mitigation(self._interference)
         self._assigner = Assigner(ports, self._interference, self._sizes)
         self._plan_by_shard: dict[int, ShardPlan] = {}
-        self._granted_at: dict[GrantKey, float] = {}
-        self._next_survey: float = 0
+        self._granted_at_by_boot: dict[GrantKey, float] = {}
+        self._next_review_ms: float = 0
         self._holder: ShardHolder | None = None
         self._is_reading_inbox = False
 
     def attach(self, holder: ShardHolder) -> None:
-        """Ask this holder which leases are good."""
+        """Set the holder that tells which shard leases are valid."""
         self._holder = holder
 
     def on_acquired(self, held: HeldShard) -> None:
-        """Load a shard that this entry now holds."""
-        journal = ChunkWriter(
+        """Load a shard that this entry has acquired."""
+        writer = ChunkWriter(
             self._store,
             held,
             partial(self._is_current, held),
-            self._fenced,
+            self._on_fenced,
         )
-        plan = ShardPlan(held, journal, self._ports)
+        plan = ShardPlan(held, writer, self._ports)
         self._plan_by_shard[held.shard] = plan
         self._load(plan)
 
     def on_lost(self, shard: int) -> None:
-        """Drop a shard; its next holder reads all from the table."""
+        """Drop a shard; its next holder reads the state from the table."""
         plan = self._plan_by_shard.pop(shard, None)
         if plan is not None:
             plan.is_dropped = True
 
     def grant_leases(self, record: AgentRecord) -> tuple[LeaseGrant, ...]:
-        """Grant an agent the right to run tasks of the held shards.
+        """Grant an agent leases to run tasks of the held shards.
 
-        An agent whose worker does not answer gets none: nobody knows what
-        runs there, so its leases are left to run out. Nor is anything
-        granted before the plan was read: an agent answers the first grant
-        of an epoch with all that it runs, once, and that must be heard.
+        An agent whose worker does not answer gets no lease: it is unknown
+        what runs there, so its leases must expire. A shard is granted only
+        once its plan is loaded, since an agent answers the first grant of an
+        epoch with one complete report, which the plan must not miss.
         """
-        held = [plan.held for plan in self._usable_plans()]
-        if not held or not record.worker_boot:
+        held_shards = [plan.held for plan in self._usable_plans()]
+        if not held_shards or not record.worker_boot:
             return ()
         key = (record.agent_id, record.worker_boot)
-        self._granted_at[key] = self._ports.clock.now()
-        times = self._ports.lease_times
+        self._granted_at_by_boot[key] = self._ports.clock.now()
+        lease_times = self._ports.lease_times
         return tuple(
             LeaseGrant(
-                shard.shard,
-                shard.epoch,
-                times.batch_ttl_ms,
-                times.keeper_ttl_ms,
+                held.shard,
+                held.epoch,
+                lease_times.batch_ttl_ms,
+                lease_times.keeper_ttl_ms,
             )
-            for shard in held
+            for held in held_shards
         )
 
     def poll(self) -> None:
-        """Look for submitted jobs and cancellations; finish loading."""
+        """Read submitted jobs and cancellations; retry failed loads."""
         for plan in list(self._plan_by_shard.values()):
             if not plan.is_loaded and not plan.is_loading:
                 self._load(plan)
         if self._is_reading_inbox or not self._plan_by_shard:
             return
         self._is_reading_inbox = True
-        self._store.read('inbox/', self._inbox_read)
+        self._store.read('inbox/', self._on_inbox_read)
 
     def tick(self) -> None:
-        """Place waiting tasks, notice lapsed ones, write what changed."""
+        """Place waiting tasks, reclaim expired ones and write changes."""
         plans = self._usable_plans()
-        if self._ports.clock.now() >= self._next_survey:
-            self._survey(plans)
+        if self._ports.clock.now() >= self._next_review_ms:
+            self._review(plans)
         for plan in plans:
-            self._keep_up(plan)
+            self._scale_keepers(plan)
         self._assigner.place_waiting(plans)
-        for usable in plans:
-            usable.flush()
+        for loaded_plan in plans:
+            loaded_plan.flush()
 
     def on_heartbeat(self, record: AgentRecord) -> None:
-        """Learn from an agent's report of load and use, and act on it."""
-        now = self._ports.clock.now()
+        """Update sizes and model from a heartbeat; mitigate interference."""
+        now_ms = self._ports.clock.now()
         self._sizes.observe(record.usage)
-        self._interference.on_heartbeat(record, now)
-        self._mitigation.on_heartbeat(record, self._usable_tasks(), now)
+        self._interference.on_heartbeat(record, now_ms)
+        self._mitigation.on_heartbeat(record, self._usable_tasks(), now_ms)
 
     def on_disconnected(self, agent_id: str) -> None:
-        """Forget what shared the VM of an agent that has gone."""
-        self._interference.forget(agent_id)
-        self._mitigation.forget(agent_id)
+        """Drop the interference state of an agent that has disconnected."""
+        self._interference.remove_agent(agent_id)
+        self._mitigation.remove_agent(agent_id)
 
     def on_report(self, record: AgentRecord, report: TaskReport) -> None:
-        """Take an agent's report of its tasks."""
+        """Apply an agent's report of its tasks to the plans."""
         for status in report.tasks:
-            plan = self._usable(status.shard)
+            plan = self._usable_plan(status.shard)
             if plan is not None:
-                plan.take_status(record, status)
-        complete = self._usable(report.shard) if report.complete else None
-        if complete is not None:
-            complete.reconcile(record, report)
+                plan.handle_status(record, status)
+        reported_plan = (
+            self._usable_plan(report.shard) if report.complete else None
+        )
+        if reported_plan is not None:
+            reported_plan.reconcile(record, report)
 
     def tasks(self) -> Iterator[PlannedTask]:
-        """Return all tasks that this entry plans."""
+        """Yield all tasks that this entry plans, by shard."""
         for shard in sorted(self._plan_by_shard):
             yield from self._plan_by_shard[shard].index.tasks
 
@@ -154,40 +159,42 @@
         plan.is_loading = True
         self._store.read(
             chunk_prefix(plan.held.shard),
-            lambda answer: self._loaded(plan, answer),
+            lambda response: self._on_loaded(plan, response),
         )
 
-    def _loaded(
+    def _on_loaded(
         self,
         plan: ShardPlan,
-        answer: Result[Sequence[Row], Failure],
+        response: Result[Sequence[Row], Failure],
     ) -> None:
         if self._plan_by_shard.get(plan.held.shard) is not plan:
             return
         plan.is_loading = False
-        if answer.is_ok():
-            plan.load(list(answer.unwrap()))
+        if response.is_ok():
+            plan.load(list(response.unwrap()))
 
-    def _fenced(self, shard: int) -> None:
+    def _on_fenced(self, shard: int) -> None:
         if self._holder is not None:
             self._holder.drop(shard, 'rows changed under its planner')
 
-    def _usable(self, shard: int) -> ShardPlan | None:
+    def _usable_plan(self, shard: int) -> ShardPlan | None:
         plan = self._plan_by_shard.get(shard)
         if plan is None or not plan.is_loaded or self._holder is None:
             return None
         return plan if self._holder.get(shard) else None
 
     def _usable_plans(self) -> list[ShardPlan]:
-        plans = [self._usable(shard) for shard in sorted(self._plan_by_shard)]
+        plans = [
+            self._usable_plan(shard) for shard in sorted(self._plan_by_shard)
+        ]
         return [plan for plan in plans if plan is not None]
 
-    def _inbox_read(self, answer: Result[Sequence[Row], Failure]) -> None:
+    def _on_inbox_read(self, response: Result[Sequence[Row], Failure]) -> None:
         self._is_reading_inbox = False
-        if answer.is_err():
+        if response.is_err():
             return
-        for row in answer.unwrap():
-            plan = self._usable(int(row.key.split('/')[1]))
+        for row in response.unwrap():
+            plan = self._usable_plan(int(row.key.split('/')[1]))
             if plan is not None:
                 plan.handle_inbox_row(row)
 
@@ -196,23 +203,23 @@
             self._holder.get(held.shard) == held
         )
 
-    def _survey(self, plans: Sequence[ShardPlan]) -> None:
-        """Look over all tasks for what time alone changes."""
-        now = self._ports.clock.now()
-        self._next_survey = now + _SURVEY_MS
+    def _review(self, plans: Sequence[ShardPlan]) -> None:
+        """Apply changes due to elapsed time: expired leases, old jobs."""
+        now_ms = self._ports.clock.now()
+        self._next_review_ms = now_ms + _REVIEW_INTERVAL_MS
         for plan in plans:
-            plan.reclaim_lapsed(self._granted_at)
-            plan.forget_finished()
-        oldest = now - _REMEMBER_GRANTS_MS
-        self._granted_at = {
+            plan.reclaim_expired(self._granted_at_by_boot)
+            plan.delete_finished_jobs()
+        oldest = now_ms - _GRANT_RETENTION_MS
+        self._granted_at_by_boot = {
             key: granted_at
-            for key, granted_at in self._granted_at.items()
+            for key, granted_at in self._granted_at_by_boot.items()
             if granted_at > oldest
         }
-        self._gauge_keepers(plans)
+        self._report_keepers(plans)
 
-    def _keep_up(self, plan: ShardPlan) -> None:
-        """Bring a plan's keeper sets to what the configuration says."""
+    def _scale_keepers(self, plan: ShardPlan) -> None:
+        """Scale a plan's keeper sets to the configured numbers."""
         configuration = self._ports.configuration
         if self._holder is None or not configuration.is_known:
             return
@@ -227,19 +234,19 @@
             if is_keeper and shard == plan.held.shard:
                 count_by_service[policy.service_name] = policy.keepers
         for service_name, count in count_by_service.items():
-            plan.keep_up(service_name, count)
+            plan.scale_keepers(service_name, count)
 
-    def _gauge_keepers(self, plans: Sequence[ShardPlan]) -> None:
+    def _report_keepers(self, plans: Sequence[ShardPlan]) -> None:
         keepers = [
             planned.task
             for plan in plans
             for planned in plan.index.tasks
             if planned.chunk.kind is TaskKind.KEEPER
         ]
-        wanted = [task for task in keepers if not task.is_final]
+        unfinished = [task for task in keepers if not task.is_final]
         running = sum(
             task.state is TaskState.ASSIGNED and task.is_confirmed
-            for task in wanted
+            for task in unfinished
         )
-        self._ports.metrics.gauge('keepers_wanted', len(wanted))
+        self._ports.metrics.gauge('keepers_wanted', len(unfinished))
         self._ports.metrics.gauge('keepers_running', running)
--- a/hyssopring/placement/ports.py
+++ b/hyssopring/placement/ports.py
@@ -1,4 +1,4 @@
-"""What planning needs of the entry around it."""
+"""Dependencies of the planner on the rest of the entry."""
 
 from dataclasses import dataclass, field
 
@@ -15,7 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerPorts:
-    """What planning needs of the entry around it."""
+    """Dependencies of the planner on the rest of the entry.
+
+    Attributes:
+        clock: Clock in milliseconds.
+        fleet: Connected agents.
+        configuration: Configuration in force.
+        links: Sends messages to agents.
+        metrics: Counters and gauges.
+        lease_times: Durations of task leases.
+        health: Failures and quarantine of workers.
+    """
 
     clock: Clock
     fleet: Fleet
--- a/hyssopring/placement/quotas.py
+++ b/hyssopring/placement/quotas.py
@@ -1,8 +1,8 @@
-"""What each team has running in the whole fleet, against its quota.
+"""Compare each team's use of the whole fleet with its quota.
 
-Every entry counts from the agents' reports plus its own starts under way. Two
-entries may thus pass a quota together by what they start within one
-heartbeat; the next reports show it and neither starts more.
+Every entry counts the agents' reports plus its own unreported starts. Two
+entries together may therefore exceed a quota by the tasks that they start
+within one heartbeat interval; after the next reports neither starts more.
 """
 
 from typing import Iterable
@@ -14,14 +14,14 @@
 
 
 class TeamUsage:
-    """Cores in use by team, for one round of placing."""
+    """Cores in use by team during one placement round."""
 
     def __init__(
         self,
         configuration: ConfigurationState,
         agents: Iterable[AgentRecord],
     ) -> None:
-        """Count what the agents report."""
+        """Count the reserved cores that the agents report."""
         self._configuration = configuration
         self._cores_by_team: dict[str, float] = {}
         self._quota_by_team: dict[str, float] = {}
@@ -31,15 +31,15 @@
                 self.add(team, group.reserved.cores)
 
     def add(self, team: str, cores: float) -> None:
-        """Count cores of a start that no report shows so far."""
+        """Count the cores of a start that no report shows yet."""
         self._cores_by_team[team] = self._cores_by_team.get(team, 0) + cores
 
-    def part(self, team: str) -> float:
-        """Return the used part of the quota, for an even order of teams."""
+    def used_fraction(self, team: str) -> float:
+        """Return the used fraction of a team's quota."""
         return self._cores_by_team.get(team, 0) / self._quota(team)
 
-    def refusal(self, team: str, cores: float) -> str:
-        """Return why so many more cores are too many, or nothing."""
+    def refusal_reason(self, team: str, cores: float) -> str:
+        """Return why ``cores`` more exceed the quota, '' if they do not."""
         used = self._cores_by_team.get(team, 0)
         quota = self._quota(team)
         if used + cores <= quota:
--- a/hyssopring/placement/records.py
+++ b/hyssopring/placement/records.py
@@ -1,7 +1,7 @@
-"""Jobs and tasks as the planner keeps them, and as rows of the table.
+"""Task records of the planner and their representation in the table.
 
 A chunk is one row with the states of up to ``CHUNK_TASKS`` tasks of one job,
-so that many task starts cost one write.
+so that the starts of many tasks cost one write.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class TaskState(enum.Enum):
-    """What the table says of a task. Completed, failed, cancelled are final."""
+    """Stored state of a task. Completed, failed and cancelled are final."""
 
     WAITING = 'waiting'
     ASSIGNED = 'assigned'
@@ -28,21 +28,30 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """One task.
+    """State of one task.
+
+    Times are clock milliseconds.
 
     Attributes:
-        attempt: Grows with each assignment; fences older starts.
-        failures: Attempts that ended in failure.
-        worker_boot: The boot of its worker that this attempt was meant for.
-        is_confirmed: The agent has said that this attempt runs.
-        refusals: Starts in a row that ran nowhere.
-        is_overrun: Ran far past its declared time, and that was logged.
-        sent_generation: Connection that the start was sent on; 0 for an
-            attempt that an earlier planner assigned.
-        not_before: Clock milliseconds before which it is not placed again.
-        why_waiting: For an operator who asks.
-        share: Share of processor time that this planner last asked for.
-        avoid_until_by_agent: Workers that refused or failed the task.
+        attempt: Number of the attempt; increases with each assignment and
+            fences older starts.
+        agent_id: Agent of the current or the last attempt.
+        checkpoint: Last reported checkpoint, empty if there is none.
+        failures: Number of attempts that failed.
+        worker_boot: Boot of the worker that the attempt was assigned to.
+        is_confirmed: Whether the agent has reported that the attempt runs.
+        confirmed_at: When it first reported that.
+        refusals: Number of consecutive starts that ran nowhere.
+        is_overrun: Whether the task has far exceeded its declared run time,
+            which is logged once.
+        sent_generation: Number of the connection on which the start was sent,
+            0 for an attempt assigned by an earlier planner.
+        not_before: Time before which the task is not placed again.
+        waiting_since: When the task started to wait.
+        why_waiting: Reason shown to operators.
+        share: Share of processor time that this planner last requested.
+        avoid_until_by_agent: Until when to avoid the workers that refused or
+            failed the task.
     """
 
     task_id: str
@@ -65,11 +74,11 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more will happen to the task."""
+        """Whether the task has reached a final state."""
         return self.state not in {TaskState.WAITING, TaskState.ASSIGNED}
 
     def to_fields(self) -> list[Any]:
-        """Return what the table keeps."""
+        """Return the stored fields, in the order of the row."""
         return [
             self.state.value,
             self.attempt,
@@ -82,12 +91,14 @@
 
 @dataclass(slots=True)
 class Chunk:
-    """One row of tasks.
+    """One table row with tasks of a job.
 
     Attributes:
-        row_version: Version of the row as this planner last wrote or read it.
-        is_forgotten: To be deleted from the table.
-        operations: Ids of own writes whose answers were lost.
+        shard: Shard of the job.
+        key: Key of the row.
+        row_version: Version of the row that this planner last wrote or read.
+        is_deleted: Whether the row is to be deleted from the table.
+        unconfirmed_writes: Ids of own writes whose outcome is not known.
     """
 
     shard: int
@@ -97,8 +108,8 @@
     kind: TaskKind
     tasks: list[TaskRecord]
     row_version: int = 0
-    is_forgotten: bool = False
-    operations: set[str] = field(default_factory=set)
+    is_deleted: bool = False
+    unconfirmed_writes: set[str] = field(default_factory=set)
 
     def to_document(self) -> Document:
         """Return the row's document."""
@@ -111,11 +122,11 @@
 
     @classmethod
     def from_row(cls, shard: int, row: Row) -> 'Chunk':
-        """Load a chunk."""
+        """Create a chunk from its row."""
         document = row.document
         offset = int(row.key.rpartition('/')[2]) * CHUNK_TASKS
         tasks = [
-            _task(f'{document["job"]}:{offset + index}', fields)
+            _task_from_fields(f'{document["job"]}:{offset + index}', fields)
             for index, fields in enumerate(document['tasks'])
         ]
         return cls(
@@ -129,7 +140,7 @@
         )
 
     @classmethod
-    def for_job(
+    def from_job(
         cls,
         shard: int,
         job_id: str,
@@ -138,7 +149,16 @@
         count: int,
         first_chunk: int = 0,
     ) -> list['Chunk']:
-        """Cut new tasks of a job into chunks."""
+        """Create the chunks of a job's new tasks.
+
+        Args:
+            shard: Shard of the job.
+            job_id: Id of the job or keeper set.
+            service_name: Service of the tasks.
+            kind: Kind of the tasks.
+            count: Number of tasks.
+            first_chunk: Number of the first new chunk.
+        """
         start = first_chunk * CHUNK_TASKS
         end = start + count
         return [
@@ -153,8 +173,8 @@
             for first in range(start, end, CHUNK_TASKS)
         ]
 
-    def grow(self, count: int) -> list[TaskRecord]:
-        """Add tasks with the numbers that follow; return them."""
+    def add_tasks(self, count: int) -> list[TaskRecord]:
+        """Append tasks with consecutive numbers and return them."""
         offset = int(self.key.rpartition('/')[2]) * CHUNK_TASKS
         first = offset + len(self.tasks)
         added = _new_tasks(self.job_id, first, first + count)
@@ -167,7 +187,7 @@
     return f'chunks/{shard:04}/'
 
 
-def _task(task_id: str, fields: Sequence[Any]) -> TaskRecord:
+def _task_from_fields(task_id: str, fields: Sequence[Any]) -> TaskRecord:
     state, *others = fields
     return TaskRecord(task_id, TaskState(state), *others)
 
--- a/hyssopring/placement/shard_plan.py
+++ b/hyssopring/placement/shard_plan.py
@@ -1,4 +1,4 @@
-"""The jobs, keepers and tasks of one held shard."""
+"""Plan the jobs, keepers and tasks of one held shard."""
 
 from typing import Mapping, Sequence
 
@@ -10,8 +10,8 @@
 from hyssopring.placement.ports import PlannerPorts
 from hyssopring.placement.records import CHUNK_TASKS, Chunk, TaskRecord
 from hyssopring.placement.task_commands import TaskCommands
-from hyssopring.placement.task_reconciler import GrantKey, TaskReconciler
 from hyssopring.placement.task_index import PlannedTask, TaskIndex
+from hyssopring.placement.task_reconciler import GrantKey, TaskReconciler
 from hyssopring.placement.task_states import TaskStates
 from hyssopring.placement.task_steps import TaskSteps
 from hyssopring.protocol.messages import Resources, TaskReport, TaskStatus
@@ -20,78 +20,91 @@
 
 __all__ = ('ShardPlan', 'keeper_job_id')
 
-# Checkpoints that running tasks report are written this often at most.
-_PROGRESS_MS = 15_000.0
-# How long the rows of a finished job are kept.
+# Minimum interval between writes of the checkpoints of running tasks.
+_PROGRESS_INTERVAL_MS = 15_000.0
+# How long the rows of a finished job are kept in the table.
 _RETENTION_MS = 3_600_000.0
 
 
 def keeper_job_id(service_name: str) -> str:
-    """Return the id of a keeper set; no job or other set can have it."""
+    """Return the id of a service's keeper set, distinct from all job ids."""
     return f'keeper.{service_name.replace("/", ".")}'
 
 
 class ShardPlan:
-    """Follows and changes the tasks of one shard under one epoch."""
+    """Plan the tasks of one shard under one epoch.
+
+    Attributes:
+        held: The shard, with its epoch.
+        is_loaded: Whether the rows of the table have been read.
+        is_loading: Whether a read of the rows is in flight.
+        is_dropped: Whether this entry has lost the shard.
+        keepers_version: Configuration version that the numbers of keepers
+            were last scaled to, -1 at first.
+        index: The tasks by id and by job.
+    """
 
     def __init__(
         self,
         held: HeldShard,
-        journal: ChunkWriter,
+        writer: ChunkWriter,
         ports: PlannerPorts,
     ) -> None:
-        """Start empty; ``load`` takes the table's rows."""
+        """Create an empty plan; ``load`` adds the rows of the table."""
         self.held = held
         self.is_loaded = False
         self.is_loading = False
         self.is_dropped = False
         self.keepers_version = -1
-        self._journal = journal
+        self._writer = writer
         self._ports = ports
         self._commands = TaskCommands(held, ports.links)
         self.index = TaskIndex()
         self._states = TaskStates(
-            journal,
+            writer,
             ports,
             self._commands,
-            self.index.wait,
+            self.index.requeue,
         )
-        self._steps = TaskSteps(held, journal, ports, self._states)
-        self._evidence = TaskReconciler(
+        self._steps = TaskSteps(held, writer, ports, self._states)
+        self._reconciler = TaskReconciler(
             held,
-            journal,
+            writer,
             ports,
             self._commands,
             self._states,
         )
-        self._final_since_by_job: dict[str, float] = {}
-        self._progress_due: float = 0
+        self._ended_at_by_job: dict[str, float] = {}
+        self._next_progress_ms: float = 0
 
     def load(self, rows: Sequence[Row]) -> None:
-        """Take over what earlier planners recorded."""
+        """Load the tasks that earlier planners recorded."""
         for row in rows:
-            self._add(Chunk.from_row(self.held.shard, row))
-        now = self._ports.clock.now()
+            self._add_chunk(Chunk.from_row(self.held.shard, row))
+        now_ms = self._ports.clock.now()
         for job_id in self.index.jobs:
-            if _is_over(self.index.job_chunks(job_id)):
-                self._final_since_by_job[job_id] = now
+            if _has_ended(self.index.job_chunks(job_id)):
+                self._ended_at_by_job[job_id] = now_ms
         self.is_loaded = True
 
     def flush(self) -> None:
-        """Write what changed."""
-        now = self._ports.clock.now()
-        if self._evidence.progressed and now >= self._progress_due:
-            self._progress_due = now + _PROGRESS_MS
-            for chunk in self._evidence.progressed.values():
-                self._journal.mark(chunk)
-            self._evidence.progressed.clear()
-        self._journal.flush()
+        """Write changed chunks, and reported checkpoints at intervals."""
+        now_ms = self._ports.clock.now()
+        if (
+            self._reconciler.progressed_chunk_by_key
+            and now_ms >= self._next_progress_ms
+        ):
+            self._next_progress_ms = now_ms + _PROGRESS_INTERVAL_MS
+            for chunk in self._reconciler.progressed_chunk_by_key.values():
+                self._writer.mark_dirty(chunk)
+            self._reconciler.progressed_chunk_by_key.clear()
+        self._writer.flush()
 
     def handle_inbox_row(self, row: Row) -> None:
-        """Accept or cancel a job; the row goes once that is written.
+        """Accept or cancel a job; delete the row once that is written.
 
-        Each inbox row has a key of its own and is read again until it is gone:
-        taking it twice changes nothing more.
+        Each inbox row has its own key and is read repeatedly until it is
+        deleted. Handling it again has no effect.
         """
         job_id = row.document['job']
         if row.document['what'] == 'submit':
@@ -104,7 +117,7 @@
         else:
             self.cancel_job(job_id, row.document.get('task', ''))
         chunks = self.index.job_chunks(job_id)
-        self._journal.delete_after(row.key, chunks)
+        self._writer.delete_row_after(row.key, chunks)
 
     def accept_job(
         self,
@@ -113,77 +126,78 @@
         kind: TaskKind,
         count: int,
     ) -> None:
-        """Take in a job's tasks; those that are known stay as they are.
+        """Add a job's tasks, except those that are already known.
 
-        A planner that died may have written only the first chunks.
+        A planner that crashed may have written only the first chunks.
         """
-        known = {chunk.key for chunk in self.index.job_chunks(job_id)}
-        chunks = Chunk.for_job(
+        known_keys = {chunk.key for chunk in self.index.job_chunks(job_id)}
+        chunks = Chunk.from_job(
             self.held.shard,
             job_id,
             service_name,
             kind,
             count,
         )
-        lacking = [chunk for chunk in chunks if chunk.key not in known]
-        for chunk in lacking:
-            self._add_new(chunk)
-        if lacking:
+        missing = [chunk for chunk in chunks if chunk.key not in known_keys]
+        for chunk in missing:
+            self._add_new_chunk(chunk)
+        if missing:
             log_event(Event.JOB_ACCEPTED, job=job_id, tasks=count)
 
     def cancel_job(self, job_id: str, task_id: str = '') -> None:
-        """Cancel a job's tasks that have not ended, or the one named."""
+        """Cancel a job's unfinished tasks, or only ``task_id`` if given."""
         for chunk in self.index.job_chunks(job_id):
             for task in chunk.tasks:
                 if task_id in {'', task.task_id}:
-                    self._cancel(task)
+                    self._cancel_task(task)
 
-    def keep_up(self, service_name: str, count: int) -> None:
-        """Have so many keepers of a service; a withdrawn one has none.
+    def scale_keepers(self, service_name: str, count: int) -> None:
+        """Scale a service to ``count`` keepers, 0 if it was withdrawn.
 
-        A keeper that was cancelled may still run for a moment, or as long as
-        its lease where it cannot be reached: it is never taken up again, a
+        A cancelled keeper may keep running for a moment, or until its lease
+        expires if its agent is unreachable. It is therefore never reused: each
         new keeper gets a new number.
         """
         job_id = keeper_job_id(service_name)
         chunks = self.index.job_chunks(job_id)
-        wanted = [
+        unfinished = [
             task
             for chunk in chunks
             for task in chunk.tasks
             if not task.is_final
         ]
-        for surplus in wanted[count:]:
-            self._cancel(surplus)
-        lacking = count - len(wanted)
-        if lacking > 0:
-            log_event(Event.JOB_ACCEPTED, job=job_id, tasks=lacking)
-            self._add_keepers(job_id, service_name, lacking)
+        for surplus in unfinished[count:]:
+            self._cancel_task(surplus)
+        missing = count - len(unfinished)
+        if missing > 0:
+            log_event(Event.JOB_ACCEPTED, job=job_id, tasks=missing)
+            self._add_keepers(job_id, service_name, missing)
 
     def keeper_services(self) -> set[str]:
-        """Return the services that this plan has keepers of."""
+        """Return the services with keepers in this plan."""
         return {
             chunk.service_name
             for chunk in self.index.chunks
             if chunk.kind is TaskKind.KEEPER
         }
 
-    def forget_finished(self) -> None:
-        """Delete the rows of jobs that ended long ago; call each second.
+    def delete_finished_jobs(self) -> None:
+        """Delete the rows of jobs that ended before the retention time.
 
-        A job's end is logged when it is first seen here, within a second.
+        The first call after a job has ended logs its end; the planner calls
+        this once per second.
         """
-        now = self._ports.clock.now()
+        now_ms = self._ports.clock.now()
         for job_id in self.index.jobs:
             chunks = self.index.job_chunks(job_id)
-            if not _is_over(chunks):
-                self._final_since_by_job.pop(job_id, None)
+            if not _has_ended(chunks):
+                self._ended_at_by_job.pop(job_id, None)
                 continue
-            if job_id not in self._final_since_by_job:
+            if job_id not in self._ended_at_by_job:
                 log_event(Event.JOB_FINISHED, job=job_id)
-            since = self._final_since_by_job.setdefault(job_id, now)
-            if now - since > _RETENTION_MS:
-                self._forget(job_id, chunks)
+            ended_at = self._ended_at_by_job.setdefault(job_id, now_ms)
+            if now_ms - ended_at > _RETENTION_MS:
+                self._delete_job(job_id, chunks)
 
     def assign(
         self,
@@ -192,14 +206,14 @@
         policy: ServicePolicy,
         size: Resources,
     ) -> None:
-        """Give a waiting task to an agent; its start follows the write."""
+        """Assign a waiting task; its start is sent once that is written."""
         self._steps.assign(planned, agent_id, policy, size)
 
     def checkpoint(self, planned: PlannedTask) -> None:
-        """Stop a task at a checkpoint; it waits again once it has stopped.
+        """Stop a task at a checkpoint; it is requeued once it has stopped.
 
-        It stays assigned until its agent reports it stopped, so that it can
-        never run in two places; a message that is lost stops nothing.
+        It stays assigned until its agent reports that it has stopped, so that
+        it never runs in two places. If the command is lost, the task runs on.
         """
         task = planned.task
         self._commands.stop(
@@ -210,57 +224,66 @@
         )
 
     def throttle(self, planned: PlannedTask, share: float) -> None:
-        """Leave a task this share of its processor time."""
+        """Limit a task to a share of its processor time."""
         planned.task.share = share
         self._commands.throttle(planned.task, share)
 
-    def reclaim_lapsed(self, granted_at: Mapping[GrantKey, float]) -> None:
-        """Take back tasks of workers out of reach past their leases."""
-        self._evidence.reclaim_lapsed(granted_at)
+    def reclaim_expired(
+        self, granted_at_by_boot: Mapping[GrantKey, float]
+    ) -> None:
+        """Requeue tasks of unreachable workers whose leases have expired.
+
+        Args:
+            granted_at_by_boot: Time of the last grant to each agent and
+                worker boot, in clock milliseconds.
+        """
+        self._reconciler.reclaim_expired(granted_at_by_boot)
 
-    def take_status(self, record: AgentRecord, status: TaskStatus) -> None:
-        """Take an agent's report of one attempt."""
+    def handle_status(self, record: AgentRecord, status: TaskStatus) -> None:
+        """Handle an agent's report of one attempt."""
         planned = self.index.task(status.task_id)
         if planned is None:
-            self._evidence.dismiss(record, status)
+            self._reconciler.reject_status(record, status)
             return
-        self._evidence.take_status(planned, record, status)
+        self._reconciler.handle_status(planned, record, status)
 
     def reconcile(self, record: AgentRecord, report: TaskReport) -> None:
-        """Take an agent's complete report: what it lacks is not there."""
-        self._evidence.reconcile(record, report)
+        """Requeue assigned tasks that an agent's complete report lacks."""
+        self._reconciler.reconcile(record, report)
 
-    def _add(self, chunk: Chunk) -> None:
-        self.index.add(self, chunk)
+    def _add_chunk(self, chunk: Chunk) -> None:
+        self.index.add_chunk(self, chunk)
         for task in chunk.tasks:
             planned = self.index.task(task.task_id)
             if planned is not None:
-                self._states.adopt(planned)
+                self._states.track(planned)
 
-    def _cancel(self, task: TaskRecord) -> None:
+    def _cancel_task(self, task: TaskRecord) -> None:
         planned = self.index.task(task.task_id)
         if planned is not None:
             self._steps.cancel(planned)
 
-    def _add_new(self, chunk: Chunk) -> None:
-        now = self._ports.clock.now()
+    def _add_new_chunk(self, chunk: Chunk) -> None:
+        now_ms = self._ports.clock.now()
         for task in chunk.tasks:
-            task.waiting_since = now
-        self._add(chunk)
-        self._journal.mark(chunk)
+            task.waiting_since = now_ms
+        self._add_chunk(chunk)
+        self._writer.mark_dirty(chunk)
 
     def _add_keepers(self, job_id: str, service_name: str, count: int) -> None:
-        """Fill the last chunk, then cut new ones."""
+        """Add keepers to the last chunk, then to new chunks."""
         chunks = self.index.job_chunks(job_id)
         if chunks:
-            last = chunks[-1]
-            added = last.grow(min(count, CHUNK_TASKS - len(last.tasks)))
+            last_chunk = chunks[-1]
+            added = last_chunk.add_tasks(
+                min(count, CHUNK_TASKS - len(last_chunk.tasks))
+            )
             for task in added:
                 task.waiting_since = self._ports.clock.now()
-                self.index.add_task(self, last, task)
-            self._journal.mark(last)
+                self.index.add_task(self, last_chunk, task)
+            self._writer.mark_dirty(last_chunk)
             count -= len(added)
-        new = Chunk.for_job(
+        new_chunks = Chunk.from_job(
             self.held.shard,
             job_id,
             service_name,
@@ -268,18 +291,18 @@
             count,
             len(chunks),
         )
-        for chunk in new:
-            self._add_new(chunk)
+        for chunk in new_chunks:
+            self._add_new_chunk(chunk)
 
-    def _forget(self, job_id: str, chunks: Sequence[Chunk]) -> None:
-        self.index.forget_job(job_id)
-        self._final_since_by_job.pop(job_id)
+    def _delete_job(self, job_id: str, chunks: Sequence[Chunk]) -> None:
+        self.index.remove_job(job_id)
+        self._ended_at_by_job.pop(job_id)
         for chunk in chunks:
-            chunk.is_forgotten = True
-            self._journal.mark(chunk)
-        self._journal.delete_after(f'jobs/{job_id}', chunks)
+            chunk.is_deleted = True
+            self._writer.mark_dirty(chunk)
+        self._writer.delete_row_after(f'jobs/{job_id}', chunks)
         log_event(Event.JOB_FORGOTTEN, job=job_id)
 
 
-def _is_over(chunks: Sequence[Chunk]) -> bool:
+def _has_ended(chunks: Sequence[Chunk]) -> bool:
     return all(task.is_final for chunk in chunks for task in chunk.tasks)
--- a/hyssopring/placement/tail_guard.py
+++ b/hyssopring/placement/tail_guard.py
@@ -1,10 +1,10 @@
-"""Throttles, then moves, the batch work that raises a service's tail.
+"""Throttle, then move, batch tasks that raise a service's tail latency.
 
-Measurements lag by some seconds, so each step is followed by a pause that is
-longer than the lag; a step that answered harm already mended would be a step
-too many. Raising and lowering have different thresholds, and a share that was
-given back too early is given back later the next time, so that the guard does
-not oscillate. A keeper is never touched.
+Measurements lag by a few seconds, so each action is followed by a pause longer
+than the lag; otherwise it would be repeated before its effect is measured. To
+avoid oscillation, throttling and relaxing have different thresholds, and the
+delay before relaxing doubles when the tail rises again soon after it. Keepers
+are never throttled or moved.
 """
 
 import math
@@ -20,121 +20,144 @@
 
 __all__ = ('GuardStep', 'TailGuard')
 
-RAISED = 0.5
-_CALM = 0.25
+_RAISED_EXCESS = 0.5
+_STABLE_EXCESS = 0.25
 _SETTLE_MS = 6000.0
-_CONFIRMING_BEATS = 2
-_MOVE_AFTER_MS = 20_000.0
-_FIRST_HOLD_MS = 10_000.0
+_CONFIRMING_REPORTS = 2
+_EVICTION_INTERVAL_MS = 20_000.0
+_INITIAL_HOLD_MS = 10_000.0
 _MAX_HOLD_MS = 300_000.0
 _RELAPSE_MS = 30_000.0
-_STEP = 0.5
-_FLOOR = 0.25
-_FULL = 1.0
-# A template that is expected to add less than this is no culprit.
-_MATERIAL = 0.03
+_SHARE_STEP = 0.5
+_MIN_SHARE = 0.25
+_FULL_SHARE = 1.0
+# A template with a smaller possible slowdown is not considered the cause.
+_MIN_SLOWDOWN = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class GuardStep:
-    """What is to be done with a template's batch tasks on one agent.
+    """Action on a template's batch tasks on one agent.
 
     Attributes:
-        share: The share that each of its tasks is to have.
-        moves: How many of its tasks to checkpoint and place elsewhere.
+        template: Name of the template.
+        share: Share of processor time for each of its tasks.
+        evictions: Number of its tasks to checkpoint and place elsewhere.
     """
 
     template: str
     share: float
-    moves: int = 0
+    evictions: int = 0
 
 
 @dataclass(slots=True)
-class _Watch:
-    """One agent as the guard remembers it."""
+class _AgentState:
+    """State of the guard for one agent. Times are clock milliseconds.
+
+    Attributes:
+        share_by_template: Shares of the throttled templates.
+        raised_reports: Number of consecutive reports with a raised tail.
+        stable_since: Start of the current period with a normal tail, or
+            None while the tail is raised.
+        changed_at: When a share was last changed.
+        relaxed_at: When a share was last raised.
+        evicted_at: When a task was last moved.
+        hold_ms: How long the tail must be normal before a share is raised.
+    """
 
     share_by_template: dict[str, float] = field(default_factory=dict)
-    raised_beats: int = 0
-    calm_since: float | None = None
+    raised_reports: int = 0
+    stable_since: float | None = None
     changed_at: float = -math.inf
     relaxed_at: float = -math.inf
-    moved_at: float = -math.inf
-    hold_ms: float = _FIRST_HOLD_MS
+    evicted_at: float = -math.inf
+    hold_ms: float = _INITIAL_HOLD_MS
 
 
 class TailGuard:
-    """Watches the tails that agents report and says what to do."""
+    """Decide on throttling from the tail latencies that agents report."""
 
     def __init__(self, interference: InterferenceTracker) -> None:
-        """Use what ``interference`` has learned to find the culprit."""
+        """Create a guard; the model of ``interference`` finds the cause."""
         self._interference = interference
-        self._watch_by_agent: dict[str, _Watch] = {}
+        self._state_by_agent: dict[str, _AgentState] = {}
 
-    def forget(self, agent_id: str) -> None:
-        """An agent has gone."""
-        self._watch_by_agent.pop(agent_id, None)
+    def remove_agent(self, agent_id: str) -> None:
+        """Drop the state of an agent that has disconnected."""
+        self._state_by_agent.pop(agent_id, None)
 
     def shares(self, agent_id: str) -> dict[str, float]:
-        """Return the shares by template that an agent's tasks are to have."""
-        watch = self._watch_by_agent.get(agent_id)
-        return watch.share_by_template if watch else {}
-
-    def review(self, record: AgentRecord, now: float) -> GuardStep | None:
-        """Return the step that the latest report calls for, if any."""
-        watch = self._watch_by_agent.setdefault(record.agent_id, _Watch())
-        beside = self._interference.colocated_load(record.agent_id)
-        _forget_absent(watch, beside)
-        excess, service_name = self._worst(record, beside)
-        if excess > RAISED:
-            watch.raised_beats += 1
-            watch.calm_since = None
+        """Return the shares of the throttled templates on an agent."""
+        state = self._state_by_agent.get(agent_id)
+        return state.share_by_template if state else {}
+
+    def review(self, record: AgentRecord, now_ms: float) -> GuardStep | None:
+        """Return the action that an agent's latest report requires, if any.
+
+        Args:
+            record: The agent, with its latest report.
+            now_ms: Clock time in milliseconds.
+        """
+        state = self._state_by_agent.setdefault(record.agent_id, _AgentState())
+        colocated = self._interference.colocated_load(record.agent_id)
+        _drop_absent_templates(state, colocated)
+        excess, service_name = self._largest_excess(record, colocated)
+        if excess > _RAISED_EXCESS:
+            state.raised_reports += 1
+            state.stable_since = None
         else:
-            watch.raised_beats = 0
-            if excess > _CALM:
-                watch.calm_since = None
-            elif watch.calm_since is None:
-                watch.calm_since = now
-        if now - watch.changed_at < _SETTLE_MS:
+            state.raised_reports = 0
+            if excess > _STABLE_EXCESS:
+                state.stable_since = None
+            elif state.stable_since is None:
+                state.stable_since = now_ms
+        if now_ms - state.changed_at < _SETTLE_MS:
             return None
-        if watch.raised_beats >= _CONFIRMING_BEATS:
-            return self._tighten(record, watch, service_name, excess, now)
-        return self._relax(record, watch, now)
+        if state.raised_reports >= _CONFIRMING_REPORTS:
+            return self._tighten(record, state, service_name, excess, now_ms)
+        return self._relax(record, state, now_ms)
 
-    def _worst(
-        self, record: AgentRecord, beside: ColocatedLoad
+    def _largest_excess(
+        self, record: AgentRecord, colocated: ColocatedLoad
     ) -> tuple[float, str]:
-        """Return the largest excess of log(tail) over its level."""
-        worst: float = 0
-        worst_service = ''
+        """Return the largest excess of log(tail) over its baseline.
+
+        Returns:
+            The excess and its service; 0 and '' if no tail is raised.
+        """
+        largest: float = 0
+        largest_service = ''
         for view in record.backend_by_id.values():
             report = view.report
-            load = beside.load_by_service.get(report.service_name, 0)
-            level = self._interference.model.level(report.service_name, load)
-            if report.tail_ms <= 0 or level is None:
+            load = colocated.load_by_service.get(report.service_name, 0)
+            baseline = self._interference.model.baseline(
+                report.service_name, load
+            )
+            if report.tail_ms <= 0 or baseline is None:
                 continue
-            excess = math.log(report.tail_ms) - level
-            if excess > worst:
-                worst, worst_service = excess, report.service_name
-        return worst, worst_service
+            excess = math.log(report.tail_ms) - baseline
+            if excess > largest:
+                largest, largest_service = excess, report.service_name
+        return largest, largest_service
 
     def _tighten(
         self,
         record: AgentRecord,
-        watch: _Watch,
+        state: _AgentState,
         service_name: str,
         excess: float,
-        now: float,
+        now_ms: float,
     ) -> GuardStep | None:
-        if now - watch.relaxed_at < _RELAPSE_MS:
-            watch.hold_ms = min(watch.hold_ms * 2, _MAX_HOLD_MS)
-            watch.relaxed_at = -math.inf
-        harm_by_template = self._harm(record, service_name)
-        if not harm_by_template:
+        if now_ms - state.relaxed_at < _RELAPSE_MS:
+            state.hold_ms = min(state.hold_ms * 2, _MAX_HOLD_MS)
+            state.relaxed_at = -math.inf
+        slowdown_by_template = self._slowdown_by_template(record, service_name)
+        if not slowdown_by_template:
             return None
         throttleable = [
             template
-            for template in harm_by_template
-            if watch.share_by_template.get(template, _FULL) > _FLOOR
+            for template in slowdown_by_template
+            if state.share_by_template.get(template, _FULL_SHARE) > _MIN_SHARE
         ]
         log_event(
             Event.TAIL_RAISED,
@@ -142,67 +165,73 @@
             service=service_name,
             times=f'{math.exp(excess):.2f}',
         )
-        watch.changed_at = now
+        state.changed_at = now_ms
         if throttleable:
-            culprit = max(throttleable, key=harm_by_template.__getitem__)
-            share = watch.share_by_template.get(culprit, _FULL) * _STEP
-            watch.share_by_template[culprit] = share
-            return GuardStep(culprit, share)
-        if now - watch.moved_at < _MOVE_AFTER_MS:
+            target = max(throttleable, key=slowdown_by_template.__getitem__)
+            share = (
+                state.share_by_template.get(target, _FULL_SHARE) * _SHARE_STEP
+            )
+            state.share_by_template[target] = share
+            return GuardStep(target, share)
+        if now_ms - state.evicted_at < _EVICTION_INTERVAL_MS:
             return None
-        watch.moved_at = now
-        culprit = max(harm_by_template, key=harm_by_template.__getitem__)
-        return GuardStep(culprit, watch.share_by_template[culprit], moves=1)
+        state.evicted_at = now_ms
+        target = max(slowdown_by_template, key=slowdown_by_template.__getitem__)
+        return GuardStep(target, state.share_by_template[target], evictions=1)
 
-    def _harm(
+    def _slowdown_by_template(
         self,
         record: AgentRecord,
         service_name: str,
     ) -> dict[str, float]:
-        """Return what each batch template may add to the service's tail."""
-        beside = self._interference.colocated_load(record.agent_id)
-        load = beside.load_by_service.get(service_name, 0)
-        harm_by_template = {}
+        """Return how much each batch template may raise log(tail)."""
+        colocated = self._interference.colocated_load(record.agent_id)
+        load = colocated.load_by_service.get(service_name, 0)
+        slowdown_by_template = {}
         for template in batch_templates(record):
-            part = beside.past_by_template.get(template, 0)
+            core_fraction = colocated.measured_by_template.get(template, 0)
             prediction = self._interference.model.predict(
                 service_name,
                 load,
-                {template: part},
+                {template: core_fraction},
             )
-            harm = prediction.mean + prediction.deviation
-            if harm > _MATERIAL:
-                harm_by_template[template] = harm
-        return harm_by_template
+            slowdown = prediction.mean + prediction.deviation
+            if slowdown > _MIN_SLOWDOWN:
+                slowdown_by_template[template] = slowdown
+        return slowdown_by_template
 
     def _relax(
         self,
         record: AgentRecord,
-        watch: _Watch,
-        now: float,
+        state: _AgentState,
+        now_ms: float,
     ) -> GuardStep | None:
-        calm_since = watch.calm_since
-        if calm_since is None or now - calm_since < watch.hold_ms:
+        stable_since = state.stable_since
+        if stable_since is None or now_ms - stable_since < state.hold_ms:
             return None
-        if not watch.share_by_template:
-            watch.hold_ms = max(watch.hold_ms / 2, _FIRST_HOLD_MS)
-            watch.calm_since = now
+        if not state.share_by_template:
+            state.hold_ms = max(state.hold_ms / 2, _INITIAL_HOLD_MS)
+            state.stable_since = now_ms
             return None
         template = min(
-            watch.share_by_template,
-            key=watch.share_by_template.__getitem__,
+            state.share_by_template,
+            key=state.share_by_template.__getitem__,
+        )
+        share = min(
+            state.share_by_template[template] / _SHARE_STEP, _FULL_SHARE
         )
-        share = min(watch.share_by_template[template] / _STEP, _FULL)
-        watch.share_by_template[template] = share
-        if share == _FULL:
-            watch.share_by_template.pop(template)
-        watch.changed_at = now
-        watch.relaxed_at = now
-        watch.calm_since = now
+        state.share_by_template[template] = share
+        if share == _FULL_SHARE:
+            state.share_by_template.pop(template)
+        state.changed_at = now_ms
+        state.relaxed_at = now_ms
+        state.stable_since = now_ms
         return GuardStep(template, share)
 
 
-def _forget_absent(watch: _Watch, beside: ColocatedLoad) -> None:
-    for template in list(watch.share_by_template):
-        if template not in beside.past_by_template:
-            watch.share_by_template.pop(template)
+def _drop_absent_templates(
+    state: _AgentState, colocated: ColocatedLoad
+) -> None:
+    for template in list(state.share_by_template):
+        if template not in colocated.measured_by_template:
+            state.share_by_template.pop(template)
--- a/hyssopring/placement/task_commands.py
+++ b/hyssopring/placement/task_commands.py
@@ -1,7 +1,7 @@
-"""What a planner tells agents about running tasks, under its epoch.
+"""Commands about running tasks that a planner sends to agents.
 
-None of these is repeated here: the agents' own reports bring them about
-again if one is lost.
+Commands carry the planner's epoch and are not retried here: if one is lost,
+the agent's next report causes it to be sent again.
 """
 
 from hyssopring.entry.calls import Links
@@ -19,10 +19,10 @@
 
 
 class TaskCommands:
-    """Sends one shard's commands."""
+    """Send the commands of one shard's planner."""
 
     def __init__(self, held: HeldShard, links: Links) -> None:
-        """Send under the held shard's epoch."""
+        """Send commands with the epoch of ``held``."""
         self._held = held
         self._links = links
 
@@ -33,7 +33,7 @@
         attempt: int,
         mode: StopMode = StopMode.CANCEL,
     ) -> None:
-        """Stop one attempt."""
+        """Stop one attempt of a task."""
         command = StopTask(
             task_id,
             self._held.shard,
@@ -44,7 +44,7 @@
         self._links.send(agent_id, command)
 
     def throttle(self, task: TaskRecord, share: float) -> None:
-        """Leave an assigned task this share of its processor time."""
+        """Limit an assigned task to a share of its processor time."""
         command = ThrottleTask(
             task.task_id,
             self._held.shard,
@@ -55,5 +55,5 @@
         self._links.send(task.agent_id, command)
 
     def acknowledge(self, agent_id: str, status: TaskStatus) -> None:
-        """Let an agent forget what is recorded."""
+        """Acknowledge a recorded status, which the agent may then drop."""
         self._links.send(agent_id, TaskReportAck((status,)))
--- a/hyssopring/placement/task_index.py
+++ b/hyssopring/placement/task_index.py
@@ -1,4 +1,4 @@
-"""Finds a shard's tasks by id, by job, and those that wait."""
+"""Index a shard's tasks by id, by job and by waiting state."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Collection, Sequence
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedTask:
-    """A task, the chunk that records it and the plan that it belongs to."""
+    """A task with the chunk that stores it and the plan that it belongs to."""
 
     plan: 'ShardPlan'
     chunk: Chunk
@@ -23,8 +23,8 @@
 class TaskIndex:
     """The tasks of one shard.
 
-    What waits is indexed apart, so that a round of placing does not pass over
-    all that runs.
+    Waiting tasks have their own index, so that a placement round does not
+    scan the running ones.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
 
     @property
     def chunks(self) -> Collection[Chunk]:
-        """All rows of tasks."""
+        """The chunks of all jobs."""
         return self._chunk_by_key.values()
 
     @property
@@ -50,14 +50,14 @@
         return tuple(self._planned_by_task.values())
 
     def task(self, task_id: str) -> PlannedTask | None:
-        """Return one task."""
+        """Return a task, None if it is unknown."""
         return self._planned_by_task.get(task_id)
 
     def job_chunks(self, job_id: str) -> Sequence[Chunk]:
-        """Return the chunks of one job."""
+        """Return the chunks of a job, empty if it is unknown."""
         return self._chunks_by_job.get(job_id, ())
 
-    def waiting(self, now: float) -> list[PlannedTask]:
+    def waiting(self, now_ms: float) -> list[PlannedTask]:
         """Return the tasks that may be placed now."""
         for task_id, planned in list(self._waiting_by_task.items()):
             if planned.task.state is not TaskState.WAITING:
@@ -65,11 +65,11 @@
         return [
             planned
             for planned in self._waiting_by_task.values()
-            if planned.task.not_before <= now
+            if planned.task.not_before <= now_ms
         ]
 
-    def add(self, plan: 'ShardPlan', chunk: Chunk) -> None:
-        """Take in a row of tasks."""
+    def add_chunk(self, plan: 'ShardPlan', chunk: Chunk) -> None:
+        """Add a chunk and its tasks."""
         self._chunk_by_key[chunk.key] = chunk
         self._chunks_by_job.setdefault(chunk.job_id, []).append(chunk)
         for task in chunk.tasks:
@@ -81,20 +81,20 @@
         chunk: Chunk,
         task: TaskRecord,
     ) -> PlannedTask:
-        """Take in one task of a known row."""
+        """Add one task of a known chunk."""
         planned = PlannedTask(plan, chunk, task)
         self._planned_by_task[task.task_id] = planned
         self._waiting_by_task[task.task_id] = planned
         return planned
 
-    def forget_job(self, job_id: str) -> None:
-        """Drop a job's rows and tasks."""
+    def remove_job(self, job_id: str) -> None:
+        """Remove a job's chunks and tasks."""
         for chunk in self._chunks_by_job.pop(job_id):
             self._chunk_by_key.pop(chunk.key)
             for task in chunk.tasks:
                 self._planned_by_task.pop(task.task_id)
                 self._waiting_by_task.pop(task.task_id, None)
 
-    def wait(self, task_id: str) -> None:
-        """A task waits again."""
+    def requeue(self, task_id: str) -> None:
+        """Add a known task to the waiting ones again."""
         self._waiting_by_task[task_id] = self._planned_by_task[task_id]
--- a/hyssopring/placement/task_reconciler.py
+++ b/hyssopring/placement/task_reconciler.py
@@ -1,7 +1,7 @@
-"""What is taken as evidence that an attempt of a task runs or has ended.
+"""Reconcile a shard's tasks with agents' reports and expired leases.
 
-A task is placed anew only when its agent has said that the attempt is not
-there or has ended, or when the lease under which it could run has run out for
+A task is placed again only when its agent has reported that the attempt ended
+or does not exist, or when the lease under which it may run has expired for
 certain.
 """
 
@@ -22,61 +22,68 @@
 
 __all__ = ('GrantKey', 'TaskReconciler')
 
-# An agent and the boot of its worker that leases were granted for.
+# Agent and worker boot that leases were granted to.
 GrantKey = tuple[str, str]
 
-_OVERRUN = 3
+_OVERRUN_FACTOR = 3
 
 
 class TaskReconciler:
-    """Takes agents' reports, and the lapse of leases, for one shard.
+    """Apply agents' reports and lease expiry to the tasks of one shard.
 
     Attributes:
-        progressed: Rows with checkpoints that are not yet written.
+        progressed_chunk_by_key: Chunks with checkpoints not yet written.
     """
 
     def __init__(
         self,
         held: HeldShard,
-        journal: ChunkWriter,
+        writer: ChunkWriter,
         ports: PlannerPorts,
         commands: TaskCommands,
         states: TaskStates,
     ) -> None:
-        """Change ``states`` by what is certain."""
+        """Create a reconciler that applies changes through ``states``."""
         self._held = held
-        self._journal = journal
+        self._writer = writer
         self._ports = ports
         self._commands = commands
         self._states = states
-        self.progressed: dict[str, Chunk] = {}
+        self.progressed_chunk_by_key: dict[str, Chunk] = {}
 
-    def reclaim_lapsed(self, granted_at: Mapping[GrantKey, float]) -> None:
-        """Take back tasks whose worker is out of reach past its leases.
+    def reclaim_expired(
+        self, granted_at_by_boot: Mapping[GrantKey, float]
+    ) -> None:
+        """Requeue tasks of unreachable workers whose leases have expired.
+
+        A different worker boot under the same agent id does not prove that
+        the task has stopped: the VM may have been replaced while the old one
+        still runs behind a network partition.
 
-        A worker of another boot under the same agent's name is no evidence:
-        the VM may have been replaced while the old one still runs, cut off.
+        Args:
+            granted_at_by_boot: Time of the last grant to each agent and
+                worker boot, in clock milliseconds.
         """
         for agent_id in self._states.agent_ids:
             record = self._ports.fleet.agent(agent_id)
             boot = record.worker_boot if record else ''
-            lost = [
+            unreachable = [
                 planned
                 for planned in self._states.assigned_to(agent_id)
                 if not boot or planned.task.worker_boot != boot
             ]
-            for planned in lost:
+            for planned in unreachable:
                 key = (agent_id, planned.task.worker_boot)
-                if self._has_lapsed(planned, granted_at.get(key, 0)):
-                    self._states.to_waiting(planned, 'lease lapsed')
+                if self._has_expired(planned, granted_at_by_boot.get(key, 0)):
+                    self._states.requeue(planned, 'lease expired')
 
-    def take_status(
+    def handle_status(
         self,
         planned: PlannedTask,
         record: AgentRecord,
         status: TaskStatus,
     ) -> None:
-        """Take an agent's report of one attempt."""
+        """Handle an agent's report of one attempt of a known task."""
         phase = TaskPhase(status.phase)
         task = planned.task
         is_same = (
@@ -85,9 +92,9 @@
         is_current = is_same and task.state is TaskState.ASSIGNED
         if phase not in FINAL_PHASES:
             if is_current:
-                self._take_progress(planned, status)
+                self._record_progress(planned, status)
             else:
-                self.dismiss(record, status)
+                self.reject_status(record, status)
             return
         acknowledge = partial(
             self._commands.acknowledge,
@@ -95,87 +102,93 @@
             status,
         )
         if is_current:
-            self._states.end(planned, phase, status)
+            self._states.handle_end(planned, phase, status)
         elif phase is TaskPhase.COMPLETED:
-            self._take_late_completion(planned, status)
+            self._record_late_completion(planned, status)
         elif not is_same:
             acknowledge()
             return
-        self._journal.mark(planned.chunk, acknowledge)
+        self._writer.mark_dirty(planned.chunk, acknowledge)
 
-    def dismiss(self, record: AgentRecord, status: TaskStatus) -> None:
-        """Answer a report of an attempt that is not wanted any more."""
+    def reject_status(self, record: AgentRecord, status: TaskStatus) -> None:
+        """Stop an attempt that is not current, or acknowledge its end."""
         if TaskPhase(status.phase) in FINAL_PHASES:
             self._commands.acknowledge(record.agent_id, status)
             return
         self._commands.stop(record.agent_id, status.task_id, status.attempt)
 
     def reconcile(self, record: AgentRecord, report: TaskReport) -> None:
-        """An agent that knows our epoch has named all tasks that it runs.
-
-        A start sent on this same connection may have crossed the report on
-        its way; taking it for lost would run the task in two places. Only
-        starts of older connections or older planners are settled here, and
-        only those for the worker boot that the report speaks of. An earlier
-        attempt that has ended there does not stand for the present one, whose
-        start was lost with its connection: no later report would tell.
+        """Requeue assigned tasks that an agent's complete report lacks.
+
+        A start sent on the current connection may have crossed the report;
+        treating it as lost could run the task in two places. Therefore only
+        starts sent on older connections or by older planners are reconciled,
+        and only those for the worker boot of the report. A reported end of an
+        earlier attempt does not cover the current attempt: if its start was
+        lost with a connection, no later report would show that.
         """
         if self._held.epoch != report.epoch or not report.worker_boot:
             return
-        present = {
+        live_task_ids = {
             status.task_id
             for status in report.tasks
             if TaskPhase(status.phase) not in FINAL_PHASES
         }
-        ended = {(status.task_id, status.attempt) for status in report.tasks}
+        reported_attempts = {
+            (status.task_id, status.attempt) for status in report.tasks
+        }
         for planned in self._states.assigned_to(record.agent_id):
             task = planned.task
-            is_settled = (
+            is_reconcilable = (
                 task.sent_generation < record.generation
                 and task.worker_boot == report.worker_boot
             )
-            is_named = (
-                task.task_id in present or (task.task_id, task.attempt) in ended
+            is_reported = (
+                task.task_id in live_task_ids
+                or (task.task_id, task.attempt) in reported_attempts
             )
-            if is_settled and not is_named:
-                self._states.to_waiting(planned, 'not on its agent')
-
-    def _has_lapsed(self, planned: PlannedTask, granted_at: float) -> bool:
-        # An earlier planner may have granted until we took the shard.
-        last = max(granted_at, self._held.acquired_at)
-        lapse_ms = self._ports.lease_times.lapse_ms(planned.chunk.kind)
-        return self._ports.clock.now() > last + lapse_ms
-
-    def _take_progress(self, planned: PlannedTask, status: TaskStatus) -> None:
+            if is_reconcilable and not is_reported:
+                self._states.requeue(planned, 'not reported by its agent')
+
+    def _has_expired(self, planned: PlannedTask, granted_at: float) -> bool:
+        # An earlier planner may have granted leases until this entry
+        # acquired the shard.
+        last_granted_at = max(granted_at, self._held.acquired_at)
+        expiry_ms = self._ports.lease_times.expiry_ms(planned.chunk.kind)
+        return self._ports.clock.now() > last_granted_at + expiry_ms
+
+    def _record_progress(
+        self, planned: PlannedTask, status: TaskStatus
+    ) -> None:
         task = planned.task
-        now = self._ports.clock.now()
+        now_ms = self._ports.clock.now()
         if not task.is_confirmed:
             task.is_confirmed = True
-            task.confirmed_at = now
+            task.confirmed_at = now_ms
             task.refusals = 0
         if status.checkpoint and status.checkpoint != task.checkpoint:
             task.checkpoint = status.checkpoint
-            self.progressed[planned.chunk.key] = planned.chunk
+            self.progressed_chunk_by_key[planned.chunk.key] = planned.chunk
         policy = self._ports.configuration.policy(planned.chunk.service_name)
         if policy is None or task.is_overrun:
             return
         is_batch = planned.chunk.kind is TaskKind.BATCH
-        took = now - task.confirmed_at
-        if is_batch and took > _OVERRUN * policy.run_ms:
-            # Declared times are often far off: said, and left to run.
+        took_ms = now_ms - task.confirmed_at
+        if is_batch and took_ms > _OVERRUN_FACTOR * policy.run_ms:
+            # Declared run times are often inaccurate, so the task runs on.
             task.is_overrun = True
             self._ports.metrics.count('tasks_overrun_total')
-            log_event(Event.TASK_OVERRUN, task=task.task_id, took_ms=took)
+            log_event(Event.TASK_OVERRUN, task=task.task_id, took_ms=took_ms)
 
-    def _take_late_completion(
+    def _record_late_completion(
         self,
         planned: PlannedTask,
         status: TaskStatus,
     ) -> None:
-        """An attempt that was given up has completed before it lapsed.
+        """Record the completion of an attempt that was already requeued.
 
-        Running the task again would do its work twice. A newer attempt is
-        stopped; its planner never had two at once.
+        Running the task again would repeat its work. A newer attempt, which
+        cannot have run at the same time, is stopped.
         """
         task = planned.task
         is_batch = planned.chunk.kind is TaskKind.BATCH
@@ -185,4 +198,4 @@
         task.checkpoint = status.checkpoint or task.checkpoint
         self._states.complete(planned)
         if was_assigned:
-            self._states.stop_after(planned)
+            self._states.stop_once_written(planned)
--- a/hyssopring/placement/task_states.py
+++ b/hyssopring/placement/task_states.py
@@ -1,7 +1,7 @@
-"""The states of one shard's tasks, and which tasks each agent has.
+"""State transitions of one shard's tasks, and the tasks of each agent.
 
-Every change of state goes to the journal, also that back to waiting, which
-says how long a task that failed or was refused is held back.
+Every transition is written to the table. A task that failed or was refused
+is requeued with a backoff.
 """
 
 from collections import defaultdict
@@ -24,63 +24,70 @@
 _MAX_BACKOFF_DOUBLINGS = 5
 _REFUSAL_BACKOFF_MS = 250.0
 _MAX_REFUSAL_DOUBLINGS = 5
-_STEADY_MS = 60_000.0
-# A worker that refused a task for want of room may have some soon; one that
-# failed it is tried again only when no other is left or much later.
+_STEADY_RUN_MS = 60_000.0
+# A worker that refused a task for lack of capacity may have some soon. One on
+# which it failed is avoided for much longer.
 _AVOID_MS_BY_PHASE = MappingProxyType(
     {TaskPhase.REFUSED: 1000.0, TaskPhase.FAILED: 600_000.0}
 )
 
 
 class TaskStates:
-    """Moves tasks from one state to the next and records it."""
+    """Change the states of tasks and record each change."""
 
     def __init__(
         self,
-        journal: ChunkWriter,
+        writer: ChunkWriter,
         ports: PlannerPorts,
         commands: TaskCommands,
-        on_waiting: Callable[[str], None],
+        on_requeued: Callable[[str], None],
     ) -> None:
-        """Write through ``journal``; tell ``on_waiting`` what waits again."""
-        self._journal = journal
+        """Create the states of a shard's tasks.
+
+        Args:
+            writer: Writes changed chunks to the table.
+            ports: Clock, fleet, configuration, metrics and worker health.
+            commands: Sends commands to agents.
+            on_requeued: Called with the id of each requeued task.
+        """
+        self._writer = writer
         self._ports = ports
         self._commands = commands
-        self._on_waiting = on_waiting
+        self._on_requeued = on_requeued
         self._assigned_by_agent: defaultdict[str, dict[str, PlannedTask]]
         self._assigned_by_agent = defaultdict(dict)
 
     @property
     def agent_ids(self) -> tuple[str, ...]:
-        """Agents that tasks are or were assigned to."""
+        """Agents with current or former assignments."""
         return tuple(self._assigned_by_agent)
 
     def assigned_to(self, agent_id: str) -> tuple[PlannedTask, ...]:
         """Return the tasks that are assigned to an agent."""
         return tuple(self._assigned_by_agent[agent_id].values())
 
-    def adopt(self, planned: PlannedTask) -> None:
-        """Follow a task whose record may say that it is assigned."""
+    def track(self, planned: PlannedTask) -> None:
+        """Add a task to its agent's tasks if it is assigned."""
         task = planned.task
         if task.state is TaskState.ASSIGNED:
             self._assigned_by_agent[task.agent_id][task.task_id] = planned
 
-    def settle(self, planned: PlannedTask, state: TaskState) -> None:
-        """Enter a state in which the task is with no agent."""
+    def unassign(self, planned: PlannedTask, state: TaskState) -> None:
+        """Enter a state in which the task has no agent."""
         task = planned.task
         self._assigned_by_agent[task.agent_id].pop(task.task_id, None)
         task.state = state
         task.why_waiting = ''
-        self._journal.mark(planned.chunk)
+        self._writer.mark_dirty(planned.chunk)
 
     def complete(self, planned: PlannedTask) -> None:
-        """The work of a batch task is done."""
-        self.settle(planned, TaskState.COMPLETED)
+        """Record that a batch task has completed."""
+        self.unassign(planned, TaskState.COMPLETED)
         self._ports.metrics.count('tasks_completed_total')
         log_event(Event.TASK_FINISHED, task=planned.task.task_id)
 
-    def to_waiting(self, planned: PlannedTask, why: str) -> None:
-        """Place the task anew, after a pause if it failed or was refused."""
+    def requeue(self, planned: PlannedTask, reason: str) -> None:
+        """Requeue a task, with a backoff if it failed or was refused."""
         task = planned.task
         if planned.chunk.kind is TaskKind.KEEPER and task.is_confirmed:
             self._ports.metrics.count('keepers_lost_total')
@@ -88,18 +95,18 @@
                 Event.KEEPER_LOST,
                 task=task.task_id,
                 agent=task.agent_id,
-                why=why,
+                why=reason,
             )
-        self.settle(planned, TaskState.WAITING)
-        now = self._ports.clock.now()
+        self.unassign(planned, TaskState.WAITING)
+        now_ms = self._ports.clock.now()
         task.is_confirmed = False
-        task.not_before = now + _backoff_ms(task)
-        task.waiting_since = now
-        task.why_waiting = why
-        self._on_waiting(task.task_id)
+        task.not_before = now_ms + _backoff_ms(task)
+        task.waiting_since = now_ms
+        task.why_waiting = reason
+        self._on_requeued(task.task_id)
 
-    def stop_after(self, planned: PlannedTask) -> None:
-        """Stop an attempt that is not wanted, once its end is recorded."""
+    def stop_once_written(self, planned: PlannedTask) -> None:
+        """Stop the current attempt once the task's new state is written."""
         task = planned.task
         stop = partial(
             self._commands.stop,
@@ -107,62 +114,66 @@
             task.task_id,
             task.attempt,
         )
-        self._journal.mark(planned.chunk, stop)
+        self._writer.mark_dirty(planned.chunk, stop)
 
-    def end(
+    def handle_end(
         self,
         planned: PlannedTask,
         phase: TaskPhase,
         status: TaskStatus,
     ) -> None:
-        """Take the end of a task's present attempt."""
+        """Handle the end of a task's current attempt."""
         chunk, task = planned.chunk, planned.task
         is_batch = chunk.kind is TaskKind.BATCH
-        self._note_health(planned, phase)
+        self._update_worker_health(planned, phase)
         task.checkpoint = status.checkpoint or task.checkpoint
         if phase is TaskPhase.COMPLETED and is_batch:
             self.complete(planned)
             return
-        self._count_try(task, phase)
+        self._count_failure(task, phase)
         policy = self._ports.configuration.policy(chunk.service_name)
-        limit = policy.max_attempts if policy else 1
-        if is_batch and task.failures >= limit:
-            self.settle(planned, TaskState.FAILED)
+        max_attempts = policy.max_attempts if policy else 1
+        if is_batch and task.failures >= max_attempts:
+            self.unassign(planned, TaskState.FAILED)
             self._ports.metrics.count('tasks_failed_total')
             log_event(Event.TASK_FAILED, task=task.task_id, tries=task.failures)
             return
-        self.to_waiting(planned, status.detail)
+        self.requeue(planned, status.detail)
 
-    def _note_health(self, planned: PlannedTask, phase: TaskPhase) -> None:
-        """Learn which workers fail what they start."""
+    def _update_worker_health(
+        self, planned: PlannedTask, phase: TaskPhase
+    ) -> None:
+        """Update the worker's health and the workers that the task avoids."""
         chunk, task = planned.chunk, planned.task
-        now = self._ports.clock.now()
+        now_ms = self._ports.clock.now()
         health = self._ports.health
         if phase is TaskPhase.COMPLETED:
-            health.on_success(task.agent_id, chunk.service_name, now)
+            health.on_success(task.agent_id, chunk.service_name, now_ms)
         if phase is TaskPhase.FAILED:
-            workers = len(self._ports.fleet.agents)
-            health.on_failure(task.agent_id, chunk.service_name, now, workers)
+            worker_count = len(self._ports.fleet.agents)
+            health.on_failure(
+                task.agent_id, chunk.service_name, now_ms, worker_count
+            )
         avoid_ms = _AVOID_MS_BY_PHASE.get(phase)
         if avoid_ms is not None:
-            task.avoid_until_by_agent[task.agent_id] = now + avoid_ms
+            task.avoid_until_by_agent[task.agent_id] = now_ms + avoid_ms
 
-    def _count_try(self, task: TaskRecord, phase: TaskPhase) -> None:
+    def _count_failure(self, task: TaskRecord, phase: TaskPhase) -> None:
         if phase is TaskPhase.REFUSED:
             task.refusals += 1
         elif phase is not TaskPhase.STOPPED:
             ran_ms = self._ports.clock.now() - task.confirmed_at
-            is_steady = task.is_confirmed and ran_ms > _STEADY_MS
+            is_steady = task.is_confirmed and ran_ms > _STEADY_RUN_MS
             task.failures = 1 if is_steady else task.failures + 1
 
 
 def _backoff_ms(task: TaskRecord) -> float:
-    """Return how long a task waits after failures or refusals in a row."""
-    backoff: float = 0
+    """Return the backoff after consecutive failures or refusals."""
+    backoff_ms: float = 0
     if task.failures:
         doublings = min(task.failures, _MAX_BACKOFF_DOUBLINGS)
-        backoff = _BACKOFF_MS * 2**doublings
+        backoff_ms = _BACKOFF_MS * 2**doublings
     if task.refusals:
         doublings = min(task.refusals - 1, _MAX_REFUSAL_DOUBLINGS)
-        backoff = max(backoff, _REFUSAL_BACKOFF_MS * 2**doublings)
-    return backoff
+        backoff_ms = max(backoff_ms, _REFUSAL_BACKOFF_MS * 2**doublings)
+    return backoff_ms
--- a/hyssopring/placement/task_steps.py
+++ b/hyssopring/placement/task_steps.py
@@ -1,7 +1,7 @@
-"""The steps that a planner takes with a task by itself: assign and cancel.
+"""Assign and cancel tasks.
 
-A task is assigned in the table before its start is sent, under the shard's
-epoch and a new attempt number. See ``task_reconciler`` for what agents report.
+An assignment is written to the table, under the shard's epoch and with a new
+attempt number, before the start is sent to the agent.
 """
 
 from functools import partial
@@ -19,23 +19,23 @@
 
 __all__ = ('TaskSteps',)
 
-# An assignment whose start is still to be sent: no report can settle it.
+# Larger than any connection number: no report can refer to an unsent start.
 _NOT_SENT = 2**62
 
 
 class TaskSteps:
-    """Assigns and cancels the tasks of one shard under one epoch."""
+    """Assign and cancel the tasks of one shard under one epoch."""
 
     def __init__(
         self,
         held: HeldShard,
-        journal: ChunkWriter,
+        writer: ChunkWriter,
         ports: PlannerPorts,
         states: TaskStates,
     ) -> None:
-        """Write through ``journal``."""
+        """Create the operations of one shard's planner."""
         self._held = held
-        self._journal = journal
+        self._writer = writer
         self._ports = ports
         self._states = states
         self._invariants = Invariants(ports.metrics)
@@ -47,7 +47,7 @@
         policy: ServicePolicy,
         size: Resources,
     ) -> None:
-        """Give a waiting task to an agent; its start follows the write."""
+        """Assign a waiting task; its start is sent once that is written."""
         chunk, task = planned.chunk, planned.task
         record = self._ports.fleet.agent(agent_id)
         may_start = self._invariants.check(
@@ -65,7 +65,7 @@
         task.sent_generation = _NOT_SENT
         task.why_waiting = ''
         task.share = 1
-        self._states.adopt(planned)
+        self._states.track(planned)
         command = StartTask(
             task_id=task.task_id,
             shard=self._held.shard,
@@ -79,20 +79,22 @@
             urgency=policy.urgency,
             worker_boot=task.worker_boot,
         )
-        self._journal.mark(chunk, partial(self._start, planned, command))
+        self._writer.mark_dirty(
+            chunk, partial(self._send_start, planned, command)
+        )
 
     def cancel(self, planned: PlannedTask) -> None:
-        """Cancel a task that has not ended; one terminal state, at once."""
+        """Cancel a task unless it is final; stop it if it is assigned."""
         task = planned.task
         if task.is_final:
             return
         was_assigned = task.state is TaskState.ASSIGNED
-        self._states.settle(planned, TaskState.CANCELLED)
+        self._states.unassign(planned, TaskState.CANCELLED)
         log_event(Event.TASK_CANCELLED, task=task.task_id)
         if was_assigned:
-            self._states.stop_after(planned)
+            self._states.stop_once_written(planned)
 
-    def _start(self, planned: PlannedTask, command: StartTask) -> None:
+    def _send_start(self, planned: PlannedTask, command: StartTask) -> None:
         task = planned.task
         is_current = (
             task.state is TaskState.ASSIGNED and task.attempt == command.attempt
@@ -104,8 +106,8 @@
             task.agent_id,
             command,
         ):
-            # Nothing was sent, so the attempt runs nowhere.
+            # The start was not sent, so the attempt does not run anywhere.
             task.refusals += 1
-            self._states.to_waiting(planned, 'agent has gone')
+            self._states.requeue(planned, 'agent is disconnected')
             return
         task.sent_generation = record.generation
--- a/hyssopring/placement/worker_ranking.py
+++ b/hyssopring/placement/worker_ranking.py
@@ -1,7 +1,8 @@
-"""Chooses workers for a group of equal tasks.
+"""Choose workers for a group of identical tasks.
 
-All waiting tasks of one job are alike, so the fitting workers are ranked once
-a round and each task costs two heap steps, not a pass over the fleet.
+All waiting tasks of one job have the same size and policy. The workers that
+fit are ranked once per round, so that each task costs two heap operations
+instead of a scan of the fleet.
 """
 
 import heapq
@@ -15,8 +16,8 @@
 
 __all__ = (
     'Candidate',
-    'Harm',
     'Placement',
+    'SlowdownPredictor',
     'WorkerRanking',
     'infeasibility_reason',
 )
@@ -24,108 +25,134 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """A worker that may take the group's next task.
+    """A worker that may receive tasks in this round.
 
     Attributes:
-        room: What is free, less the starts under way.
-        is_probe: In quarantine: it gets this one task.
+        agent: The worker's agent.
+        available: Free resources, minus starts that no report shows yet.
+        is_probe: Whether the worker is quarantined and gets a single task.
     """
 
     agent: AgentRecord
-    room: Resources
+    available: Resources
     is_probe: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The chosen agent, or none; and the reason, for the log line."""
+    """Result of a placement decision.
+
+    Attributes:
+        agent: The chosen agent, None if no worker can take the task.
+        reason: Reason for the decision, for the log and for operators.
+    """
 
     agent: AgentRecord | None
-    why: str
+    reason: str
 
 
-class Harm(Protocol):
-    """What one more task would do to the services on a worker."""
+class SlowdownPredictor(Protocol):
+    """Predicts how one more task slows the services on a worker."""
 
     def predict(self, agent: AgentRecord, size: Resources) -> float | None:
-        """Return the expected growth of the tail, None if it is too much."""
+        """Return the growth of log(tail latency), None if over the limit."""
 
-    def take(self, agent: AgentRecord, size: Resources) -> None:
-        """Count a task that is about to start there."""
+    def add_start(self, agent: AgentRecord, size: Resources) -> None:
+        """Count a task that is about to start on the worker."""
 
 
 @dataclass(order=True, slots=True)
-class _Ranked:
-    """A worker in its rack's heap, least harm and most room first."""
+class _RankedWorker:
+    """A worker in its rack's heap; the lowest score comes first.
+
+    Attributes:
+        score: Predicted slowdown minus the free fraction of the cores.
+    """
 
     score: float
     agent_id: str
     candidate: Candidate
 
 
+# Number of the job's tasks in the rack, best worker's score, rack.
 _RankedRack = tuple[int, float, str]
 
 
 class WorkerRanking:
-    """Workers by rack, for one group of equal tasks.
+    """Rank workers by rack for one group of identical tasks.
 
-    A task goes to the rack with fewest tasks of the group's job, so that a
-    rack's loss hurts the job little; of such racks to the zone with fewest;
-    there to the worker with least harm and most room.
+    A task goes to the rack with the fewest tasks of its job, so that losing a
+    rack affects as few of them as possible. Ties go to the zone with the
+    fewest tasks, then to the worker with the best score, which prefers little
+    predicted slowdown and many free cores.
     """
 
     def __init__(
         self,
         size: Resources,
         candidates: Iterable[Candidate],
-        load_by_rack: Counter[str],
-        harm: Harm,
+        task_count_by_rack: Counter[str],
+        predictor: SlowdownPredictor,
     ) -> None:
-        """Rank the workers that hold ``size``."""
+        """Rank the workers with enough free capacity for a task.
+
+        Args:
+            size: Resources that each task needs.
+            candidates: Workers that may receive tasks.
+            task_count_by_rack: Number of the job's assigned tasks, updated by
+                ``choose``.
+            predictor: Predicts how much a task slows a worker's services.
+        """
         self._size = size
-        self._harm = harm
-        self._load_by_rack = load_by_rack
-        self._load_by_zone: Counter[str] = Counter()
-        self._ranked_by_rack: dict[str, list[_Ranked]] = {}
+        self._predictor = predictor
+        self._task_count_by_rack = task_count_by_rack
+        self._task_count_by_zone: Counter[str] = Counter()
+        self._ranked_by_rack: dict[str, list[_RankedWorker]] = {}
         self._zone_by_rack: dict[str, str] = {}
-        self._is_harm_in_the_way = False
+        self._is_limit_exceeded = False
         for candidate in candidates:
             self._zone_by_rack[candidate.agent.rack] = candidate.agent.zone
-            self._push(candidate)
-        for rack, load in load_by_rack.items():
-            self._load_by_zone[self._zone_by_rack.get(rack, '')] += load
-        # By zone, since a start changes the zone's load for all its racks.
+            self._push_worker(candidate)
+        for rack, task_count in task_count_by_rack.items():
+            self._task_count_by_zone[self._zone_by_rack.get(rack, '')] += (
+                task_count
+            )
+        # One heap per zone: a start changes the rank of all racks of a zone.
         self._racks_by_zone: dict[str, list[_RankedRack]] = {}
         for rack in self._ranked_by_rack:
             self._push_rack(rack)
 
     def choose(self, avoided: Collection[str] = ()) -> Placement:
-        """Pick a worker for the next task and count the task there."""
-        passed_over = []
-        placement = Placement(None, self._why_none())
+        """Pick a worker for the next task and reserve its resources.
+
+        Args:
+            avoided: Ids of agents that must not get this task.
+        """
+        skipped_racks = []
+        placement = Placement(None, self._failure_reason())
         while placement.agent is None:
             rack = self._next_rack()
             if rack is None:
                 break
-            ranked = self._first(rack, avoided)
+            ranked = self._pop_worker(rack, avoided)
             if ranked is None:
-                passed_over.append(rack)
+                skipped_racks.append(rack)
             else:
-                placement = self._take(rack, ranked)
-        for other in passed_over:
-            self._push_rack(other)
+                placement = self._place(rack, ranked)
+        for skipped_rack in skipped_racks:
+            self._push_rack(skipped_rack)
         return placement
 
     def _next_rack(self) -> str | None:
-        """Pop the rack of least load; of equals one of the least zone."""
-        firsts = [
-            (racks[0][0], self._load_by_zone[zone], racks[0][1], zone)
+        """Pop the rack with the fewest tasks, ties by tasks in its zone."""
+        best_racks = [
+            (racks[0][0], self._task_count_by_zone[zone], racks[0][1], zone)
             for zone, racks in self._racks_by_zone.items()
             if racks
         ]
-        if not firsts:
+        if not best_racks:
             return None
-        zone = min(firsts)[-1]
+        zone = min(best_racks)[-1]
         return heapq.heappop(self._racks_by_zone[zone])[-1]
 
     def _push_rack(self, rack: str) -> None:
@@ -133,19 +160,23 @@
         if ranked:
             heapq.heappush(
                 self._racks_by_zone.setdefault(self._zone_by_rack[rack], []),
-                (self._load_by_rack[rack], ranked[0].score, rack),
+                (self._task_count_by_rack[rack], ranked[0].score, rack),
             )
 
-    def _why_none(self) -> str:
-        if self._is_harm_in_the_way:
+    def _failure_reason(self) -> str:
+        if self._is_limit_exceeded:
             return 'would slow a service on every worker with room'
         return 'no room now'
 
-    def _first(self, rack: str, avoided: Collection[str]) -> _Ranked | None:
+    def _pop_worker(
+        self, rack: str, avoided: Collection[str]
+    ) -> _RankedWorker | None:
         ranked = self._ranked_by_rack[rack]
         if ranked[0].agent_id not in avoided:
             return heapq.heappop(ranked)
-        allowed = [one for one in ranked if one.agent_id not in avoided]
+        allowed = [
+            worker for worker in ranked if worker.agent_id not in avoided
+        ]
         if not allowed:
             return None
         chosen = min(allowed)
@@ -153,36 +184,36 @@
         heapq.heapify(ranked)
         return chosen
 
-    def _take(self, rack: str, ranked: _Ranked) -> Placement:
+    def _place(self, rack: str, ranked: _RankedWorker) -> Placement:
         candidate = ranked.candidate
-        why = 'rack={0} load={1} room={2:.1f} score={3:.2f}'.format(
+        reason = 'rack={0} load={1} room={2:.1f} score={3:.2f}'.format(
             rack,
-            self._load_by_rack[rack],
-            candidate.room.cores,
+            self._task_count_by_rack[rack],
+            candidate.available.cores,
             ranked.score,
         )
-        self._load_by_rack[rack] += 1
-        self._load_by_zone[self._zone_by_rack[rack]] += 1
-        candidate.room = candidate.room.minus(self._size)
-        self._harm.take(candidate.agent, self._size)
+        self._task_count_by_rack[rack] += 1
+        self._task_count_by_zone[self._zone_by_rack[rack]] += 1
+        candidate.available = candidate.available.minus(self._size)
+        self._predictor.add_start(candidate.agent, self._size)
         if not candidate.is_probe:
-            self._push(candidate)
+            self._push_worker(candidate)
         self._push_rack(rack)
-        return Placement(candidate.agent, why)
+        return Placement(candidate.agent, reason)
 
-    def _push(self, candidate: Candidate) -> None:
+    def _push_worker(self, candidate: Candidate) -> None:
         agent = candidate.agent
         ranked = self._ranked_by_rack.setdefault(agent.rack, [])
-        if not candidate.room.holds(self._size):
+        if not candidate.available.holds(self._size):
             return
-        harm = self._harm.predict(agent, self._size)
-        if harm is None:
-            self._is_harm_in_the_way = True
+        slowdown = self._predictor.predict(agent, self._size)
+        if slowdown is None:
+            self._is_limit_exceeded = True
             return
-        free_part = candidate.room.cores / max(agent.capacity.cores, 1)
+        free_fraction = candidate.available.cores / max(agent.capacity.cores, 1)
         heapq.heappush(
             ranked,
-            _Ranked(harm - free_part, agent.agent_id, candidate),
+            _RankedWorker(slowdown - free_fraction, agent.agent_id, candidate),
         )
 
 
@@ -191,7 +222,13 @@
     size: Resources,
     agents: Collection[AgentRecord],
 ) -> str:
-    """Return why no connected worker could ever run a task, or nothing."""
+    """Return why no connected worker can ever run a task, '' if one can.
+
+    Args:
+        policy: Policy of the task's service, with the allowed zones.
+        size: Resources that the task needs.
+        agents: The connected agents.
+    """
     if not agents:
         return 'no worker is connected'
     allowed = [
--- a/tests/test_drain_withdraw.py
+++ b/tests/test_drain_withdraw.py
@@ -1,4 +1,4 @@
-"""Draining a VM and withdrawing items, under a virtual clock."""
+"""Tests of draining a VM and withdrawing configuration items."""
 
 import json
 
@@ -46,22 +46,24 @@
     assert answers[0].is_ok()
 
 
-def test_drain_moves_batch_tasks_and_cuts_off_no_request():
-    """A VM is to be replaced while bookings run on it. They are answered,
-    its rounds move with their checkpoints and end once, its keeper stays,
-    and nothing new comes."""
+def test_drain_moves_batch_tasks_and_interrupts_no_request():
+    """A VM is drained while calls and tasks run on it.
+
+    The calls are answered, batch tasks move with their checkpoints and end
+    once, the keeper stays, and no new work arrives.
+    """
     deployment = loaded_deployment()
-    before = keepers_on(deployment, 1)
-    asked = [deployment.call(entry=n % 2) for n in range(12)]
+    keepers_before = keepers_on(deployment, 1)
+    calls = [deployment.call(entry=n % 2) for n in range(12)]
     drain(deployment, '{"why": "disk"}')
     deployment.run(2000)
-    assert {kind_of(deployment, each) for each in asked} == {'none'}
-    assert tasks_on(deployment, 1) == before
-    ran = sum(backend_runs(deployment, 1).values())
-    asked = [deployment.call(entry=n % 2) for n in range(12)]
+    assert {kind_of(deployment, call) for call in calls} == {'none'}
+    assert tasks_on(deployment, 1) == keepers_before
+    runs_before = sum(backend_runs(deployment, 1).values())
+    calls = [deployment.call(entry=n % 2) for n in range(12)]
     deployment.run(60_000)
-    assert {kind_of(deployment, each) for each in asked} == {'none'}
-    assert sum(backend_runs(deployment, 1).values()) == ran
+    assert {kind_of(deployment, call) for call in calls} == {'none'}
+    assert sum(backend_runs(deployment, 1).values()) == runs_before
     ends = [
         task
         for agent in deployment.agent_by_name.values()
@@ -80,10 +82,11 @@
     assert len(keepers) == 3
 
 
-def test_drain_outlives_every_entry_and_the_agent():
-    """All entries and the agent are replaced after the drain was accepted.
-    Kept in a process's memory, the drain would be forgotten, and work would
-    come back to a VM that is about to go."""
+def test_drain_survives_restarts_of_all_entries_and_the_agent():
+    """All entries and the agent are replaced after a drain was accepted.
+
+    If the drain were kept only in memory, work would return to the VM.
+    """
     deployment = loaded_deployment()
     drain(deployment, '{"keepers": true}')
     for number in (0, 1):
@@ -120,29 +123,29 @@
     assert answers[0].is_ok()
 
 
-def everywhere(deployment, tasks):
+def on_all_agents(deployment, tasks):
     return [task for number in range(3) for task in tasks(deployment, number)]
 
 
 def test_withdrawn_service_is_unknown_and_its_calls_in_flight_finish():
     deployment = loaded_deployment()
-    asked = deployment.call()
+    call = deployment.call()
     withdraw(deployment, 'parameters/trust/booking')
-    assert kind_of(deployment, asked) == 'none'
-    asked = deployment.call()
+    assert kind_of(deployment, call) == 'none'
+    call = deployment.call()
     deployment.run(100)
-    assert kind_of(deployment, asked) == 'unknown-service'
+    assert kind_of(deployment, call) == 'unknown-service'
 
 
 def test_withdrawn_keepers_stop_and_come_back_when_submitted_again():
     deployment = loaded_deployment()
-    assert len(everywhere(deployment, keepers_on)) == 3
+    assert len(on_all_agents(deployment, keepers_on)) == 3
     withdraw(deployment, 'parameters/trust/index')
     deployment.run(5000)
-    assert everywhere(deployment, keepers_on) == []
+    assert on_all_agents(deployment, keepers_on) == []
     deployment.configure('parameters/trust/index', '{"keepers": 2}')
     deployment.run(5000)
-    assert len(everywhere(deployment, keepers_on)) == 2
+    assert len(on_all_agents(deployment, keepers_on)) == 2
 
 
 def test_withdrawn_batch_template_lets_running_tasks_end():
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -1,4 +1,4 @@
-"""Interference: learned by pair and load, limits placement, throttles."""
+"""Tests of interference: slowdown model, placement limits, throttling."""
 
 import math
 import random
@@ -13,20 +13,22 @@
 VM = Resources(16, 60)
 
 
-def learned(weights, load=0.5, reports=400, noise=0.1):
-    """A model that has seen random mixes of templates beside a service."""
+def trained_model(weights, load=0.5, reports=400, noise=0.1):
+    """Return a model trained on random mixes of templates."""
     rng = random.Random(7)
     model = SlowdownModel()
     for _ in range(reports):
-        parts = {name: rng.uniform(0, 0.5) for name in weights}
-        harm = sum(weights[name] * part for name, part in parts.items())
-        tail = 50 * math.exp(harm + rng.gauss(0, noise))
-        model.observe('t/booking', load, parts, tail)
+        fraction_by_template = {name: rng.uniform(0, 0.5) for name in weights}
+        slowdown = sum(
+            weights[name] * part for name, part in fraction_by_template.items()
+        )
+        tail = 50 * math.exp(slowdown + rng.gauss(0, noise))
+        model.observe('t/booking', load, fraction_by_template, tail)
     return model
 
 
-def report(record, load=0.5, tail_ms=50.0, **cores_by_template):
-    """Give a record the report of one backend and of running tasks."""
+def with_report(record, load=0.5, tail_ms=50.0, **cores_by_template):
+    """Set a record's report of one backend and of the running tasks."""
     record.usage = tuple(
         TaskUsage(
             f't/{name}', 'keeper' if name == 'keeper' else 'batch', 2, 2,
@@ -41,30 +43,32 @@
     return record
 
 
-def vm(name='agent-0'):
+def agent_record(name='agent-0'):
     return AgentRecord(name, name, 1, 'z', 'r', VM, VM, 0, 0)
 
 
-def test_two_culprits_are_told_apart():
-    model = learned({'scan': 3.0, 'feed': 0.1})
+def test_model_separates_two_templates():
+    model = trained_model({'scan': 3.0, 'feed': 0.1})
     scan = model.predict('t/booking', 0.5, {'scan': 0.2})
     feed = model.predict('t/booking', 0.5, {'feed': 0.2})
     assert abs(scan.mean - 0.6) < 0.1
     assert abs(feed.mean - 0.02) < 0.1
-    assert abs(model.level('t/booking', 0.5) - math.log(50)) < 0.15
+    assert abs(model.baseline('t/booking', 0.5) - math.log(50)) < 0.15
 
 
-def test_pair_and_load_that_were_never_seen_stay_uncertain():
-    model = learned({'scan': 3.0}, load=0.1)
+def test_unobserved_pair_and_load_stay_uncertain():
+    model = trained_model({'scan': 3.0}, load=0.1)
     seen = model.predict('t/booking', 0.1, {'scan': 0.2}).deviation
     assert model.predict('t/booking', 0.9, {'scan': 0.2}).deviation > 2 * seen
     assert model.predict('t/schools', 0.1, {'scan': 0.2}).deviation > 2 * seen
-    assert model.level('t/booking', 0.9) is None
+    assert model.baseline('t/booking', 0.9) is None
 
 
-def test_noisy_template_is_kept_away_and_a_quiet_one_is_not():
-    interference = InterferenceTracker(learned({'scan': 3.0, 'feed': 0.1}))
-    record = report(vm(), feed=4.0)
+def test_only_a_template_that_slows_the_service_is_kept_off_its_vm():
+    interference = InterferenceTracker(
+        trained_model({'scan': 3.0, 'feed': 0.1})
+    )
+    record = with_report(agent_record(), feed=4.0)
     interference.on_heartbeat(record, 1000)
     size = Resources(4, 4)
     scan = interference.template_slowdown('t/scan', 1000)
@@ -76,25 +80,31 @@
     )
 
 
-def test_starts_under_way_count_before_reports_show_them():
-    """A wave of scans is placed within one heartbeat. No report shows the
-    first ones yet; without counting them all would land beside one service."""
-    interference = InterferenceTracker(learned({'scan': 1.0}))
-    record = report(vm())
+def test_pending_starts_count_before_reports_include_them():
+    """Several tasks are placed within one heartbeat interval.
+
+    No report shows the first ones yet. If they were not counted, all tasks
+    would be placed beside one service.
+    """
+    interference = InterferenceTracker(trained_model({'scan': 1.0}))
+    record = with_report(agent_record())
     interference.on_heartbeat(record, 1000)
-    harm = interference.template_slowdown('t/scan', 1000)
+    slowdown = interference.template_slowdown('t/scan', 1000)
     size, placed = Resources(1, 1), 0
-    while harm.predict(record, size) is not None and placed < 16:
-        harm.take(record, size)
+    while slowdown.predict(record, size) is not None and placed < 16:
+        slowdown.add_start(record, size)
         placed += 1
     assert 2 <= placed <= 5
 
 
-def test_rising_load_throttles_the_noisy_template_before_the_tail_is_seen():
-    """The load jumps while scans run. The measured tail lags by seconds; the
-    load does not, so the share must fall on the report of load alone, only
-    for the noisy template, never for a keeper, and return with the load."""
-    model = learned({'scan': 2.0, 'feed': 0.1, 'keeper': 2.0}, load=0.7)
+def test_rising_load_throttles_the_noisy_template_before_the_tail_rises():
+    """The load of a service jumps while a noisy template runs beside it.
+
+    The measured tail lags by seconds, so the share must follow the reported
+    load alone: only for the noisy template, never for a keeper, and back to
+    1 when the load falls.
+    """
+    model = trained_model({'scan': 2.0, 'feed': 0.1, 'keeper': 2.0}, load=0.7)
     for seed in range(300):
         part = random.Random(seed).uniform(0, 0.5)
         model.observe('t/booking', 0.0, {'scan': part}, 40 * math.exp(part / 9))
@@ -102,59 +112,67 @@
     control = ShareControl(interference)
     for load, expected in ((0.0, False), (0.7, True), (0.0, False)):
         for beat in range(30):
-            record = report(vm(), load, 0.0, scan=6.0, feed=4.0, keeper=1.0)
+            record = with_report(
+                agent_record(), load, 0.0, scan=6.0, feed=4.0, keeper=1.0
+            )
             interference.on_heartbeat(record, 1000 * beat)
             control.review(record)
         assert ('scan' in control.shares('agent-0')) is expected
         assert set(control.shares('agent-0')) <= {'scan'}
 
 
-def guard_run(tails, **cores):
-    """Feed a guard one report a second; return the steps with their times."""
-    interference = InterferenceTracker(learned({'scan': 0.5, 'feed': 0.5}))
+def guard_steps(tails, **cores):
+    """Send a guard one report per second; return its steps and their times."""
+    interference = InterferenceTracker(
+        trained_model({'scan': 0.5, 'feed': 0.5})
+    )
     guard = TailGuard(interference)
     steps = []
     for second, tail in enumerate(tails):
-        record = report(vm(), 0.5, tail, **cores)
+        record = with_report(agent_record(), 0.5, tail, **cores)
         interference.colocated_load('agent-0').load_by_service['t/booking'] = (
             0.5
         )
-        past = {name: size / 16 for name, size in cores.items()}
-        interference.colocated_load('agent-0').past_by_template = past
+        measured = {name: size / 16 for name, size in cores.items()}
+        interference.colocated_load('agent-0').measured_by_template = measured
         step = guard.review(record, 1000.0 * second)
         if step is not None:
             steps.append((second, step))
     return steps
 
 
-def test_raised_tail_throttles_step_by_step_then_moves_one():
-    """Scans turn noisier than was learned and the tail stays raised. Steps
-    wait for the lagging measurement; a move comes only after throttling."""
-    steps = guard_run([150.0] * 60, scan=8.0)
+def test_raised_tail_throttles_in_steps_then_evicts_one_task():
+    """A template slows a service more than the model predicts.
+
+    Each step waits for the delayed measurement, and a task is moved only
+    after throttling has not helped.
+    """
+    steps = guard_steps([150.0] * 60, scan=8.0)
     shares = [step.share for _, step in steps]
     assert shares[:2] == [0.5, 0.25]
-    assert [step.moves for _, step in steps[:3]] == [0, 0, 1]
+    assert [step.evictions for _, step in steps[:3]] == [0, 0, 1]
     gaps = [b[0] - a[0] for a, b in zip(steps, steps[1:])]
     assert min(gaps) >= 6
 
 
-def test_keeper_is_no_culprit():
-    assert not guard_run([150.0] * 60, keeper=8.0)
+def test_keeper_is_never_throttled():
+    assert not guard_steps([150.0] * 60, keeper=8.0)
+
 
+def test_shares_are_raised_more_slowly_after_a_relapse():
+    """The tail falls when a template is throttled and rises when it is not.
 
-def test_shares_return_slowly_and_slower_after_a_relapse():
-    """The tail calms as soon as scans are throttled and rises whenever their
-    share is given back. Without growing pauses the guard would swing for
-    ever between the two."""
-    interference = InterferenceTracker(learned({'scan': 0.5}))
+    Without growing pauses the guard would oscillate between the two.
+    """
+    interference = InterferenceTracker(trained_model({'scan': 0.5}))
     guard = TailGuard(interference)
     changes, share = [], 1.0
     for second in range(1200):
         tail = 150.0 if share > 0.5 else 50.0
-        record = report(vm(), 0.5, tail, scan=8.0)
-        beside = interference.colocated_load('agent-0')
-        beside.load_by_service['t/booking'] = 0.5
-        beside.past_by_template = {'scan': 0.5}
+        record = with_report(agent_record(), 0.5, tail, scan=8.0)
+        colocated = interference.colocated_load('agent-0')
+        colocated.load_by_service['t/booking'] = 0.5
+        colocated.measured_by_template = {'scan': 0.5}
         step = guard.review(record, 1000.0 * second)
         if step is not None:
             changes.append(second)
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -1,4 +1,4 @@
-"""Urgent starts on a full VM, throttling and observed sizes, at the agent."""
+"""Tests of an agent's preemption, throttling and observed sizes."""
 
 from hyssopring.agent.ledger import Ledger
 from hyssopring.agent.tail import TailWindow
@@ -19,7 +19,7 @@
 
 
 class SlowWorker:
-    """Starts at once; stops when told by the test."""
+    """Start tasks at once; stop them when the test calls ``stopping``."""
 
     def __init__(self):
         self.started = []
@@ -42,34 +42,40 @@
         pass
 
 
-def start(name, urgency, cores, kind='batch'):
+def start_command(name, urgency, cores, kind='batch'):
     return StartTask(
         name, 1, 1, 1, kind, f't/{name}', Resources(cores, cores), '', 1e6,
         urgency, 'boot',
     )  # fmt: skip
 
 
-def supervisor(*commands, cores=16):
+def task_supervisor(*commands, cores=16):
     clock = ManualClock(1000)
     metrics = Metrics()
     ledger = Ledger(Resources(cores, 60), Invariants(metrics), metrics)
     worker, reports = SlowWorker(), []
-    tasks = TaskSupervisor(clock, ledger, ShardLeases(), worker, reports.append)
-    tasks.on_listing(WorkerListing('boot', ()), clock.now())
-    tasks.on_grant(LeaseGrant(1, 1, 15_000, 60_000), clock.now())
+    supervisor = TaskSupervisor(
+        clock, ledger, ShardLeases(), worker, reports.append
+    )
+    supervisor.on_listing(WorkerListing('boot', ()), clock.now())
+    supervisor.on_grant(LeaseGrant(1, 1, 15_000, 60_000), clock.now())
     for command in commands:
-        tasks.on_start(command)
-    return tasks, worker, clock, ledger, reports
+        supervisor.on_start(command)
+    return supervisor, worker, clock, ledger, reports
+
 
+def test_urgent_task_starts_only_after_the_preempted_one_has_stopped():
+    """Batch tasks fill the VM when an urgent start arrives.
 
-def test_urgent_task_starts_only_after_the_one_that_gives_way_has_stopped():
-    """A farrier is called while feed rounds fill the VM. The start comes,
-    one feed round is checkpointed, and the VM must not hold both: the urgent
-    task may start only when the worker has said that the other is stopped."""
-    tasks, worker, _, ledger, reports = supervisor(
-        start('feed', 2, 4), start('ocr', 2, 8), start('keeper', 0, 4, 'keeper')
+    A batch task is checkpointed. If the urgent task started before the worker
+    reports that it has stopped, both would use the same resources.
+    """
+    supervisor, worker, _, ledger, reports = task_supervisor(
+        start_command('feed', 2, 4),
+        start_command('ocr', 2, 8),
+        start_command('keeper', 0, 4, 'keeper'),
     )
-    tasks.on_start(start('farrier', 9, 6))
+    supervisor.on_start(start_command('farrier', 9, 6))
     assert list(worker.stopping) == ['ocr'], 'fewest, and never a keeper'
     assert 'farrier' not in worker.started
     worker.stopping['ocr']('70')
@@ -79,57 +85,65 @@
     assert (stopped[-1].phase, stopped[-1].checkpoint) == ('stopped', '70')
 
 
-def test_urgent_task_is_refused_when_no_room_comes_in_time():
-    """The checkpoint of the task that gives way hangs. The urgent start must
-    not wait for it for ever: it is refused, so that its planner tries another
-    VM, and nothing starts when the checkpoint ends after all."""
-    tasks, worker, clock, _, reports = supervisor(start('ocr', 2, 16))
-    tasks.on_start(start('farrier', 9, 6))
+def test_urgent_task_is_refused_when_preemption_takes_too_long():
+    """The checkpoint of the preempted task takes too long.
+
+    The urgent start is refused, so that its planner tries another VM, and it
+    does not start when the checkpoint ends later.
+    """
+    supervisor, worker, clock, _, reports = task_supervisor(
+        start_command('ocr', 2, 16)
+    )
+    supervisor.on_start(start_command('farrier', 9, 6))
     clock.advance(1600)
-    tasks.tick()
+    supervisor.tick()
     assert reports[-1].tasks[0].phase == 'refused'
     worker.stopping['ocr']('70')
     assert worker.started == ['ocr']
 
 
-def test_cancelled_while_room_is_made_gives_its_room_back():
-    """An urgent task is cancelled while it waits for room. Its start must not
-    follow, and the room is free again once both have stopped."""
-    tasks, worker, _, ledger, _ = supervisor(start('ocr', 2, 16))
-    tasks.on_start(start('farrier', 9, 6))
-    tasks.on_stop(StopTask('farrier', 1, 1, 1, 'cancel'))
+def test_task_cancelled_during_preemption_releases_its_resources():
+    """An urgent task is cancelled while it waits for a preempted task.
+
+    It must not start afterwards, and all resources must be free again.
+    """
+    supervisor, worker, _, ledger, _ = task_supervisor(
+        start_command('ocr', 2, 16)
+    )
+    supervisor.on_start(start_command('farrier', 9, 6))
+    supervisor.on_stop(StopTask('farrier', 1, 1, 1, 'cancel'))
     worker.stopping['ocr']('70')
-    assert 'farrier' not in worker.stopping, 'the worker never heard of it'
+    assert 'farrier' not in worker.stopping, 'the worker never received it'
     assert worker.started == ['ocr']
     assert ledger.free.cores == 16
 
 
-def test_equally_urgent_task_and_keeper_never_give_way():
-    tasks, worker, _, _, reports = supervisor(
-        start('round', 8, 8), start('keeper', 0, 8, 'keeper')
+def test_equally_urgent_task_and_keeper_are_not_preempted():
+    supervisor, worker, _, _, reports = task_supervisor(
+        start_command('round', 8, 8), start_command('keeper', 0, 8, 'keeper')
     )
-    tasks.on_start(start('farrier', 9, 6))
+    supervisor.on_start(start_command('farrier', 9, 6))
     assert not worker.stopping
     assert reports[-1].tasks[0].detail == 'no room'
 
 
-def test_task_larger_than_declared_takes_the_room_that_it_uses():
-    tasks, _, _, ledger, _ = supervisor(start('ocr', 2, 4))
+def test_task_larger_than_declared_reserves_what_it_uses():
+    supervisor, _, _, ledger, _ = task_supervisor(start_command('ocr', 2, 4))
     ledger.observe({'ocr': Resources(10, 2)})
     assert (ledger.free.cores, ledger.free.memory_gb) == (6, 56)
 
 
 def test_throttle_needs_the_current_epoch_and_shows_in_the_usage():
-    tasks, worker, _, _, _ = supervisor(start('ocr', 2, 4))
-    tasks.on_throttle(ThrottleTask('ocr', 1, 0, 1, 0.25))
+    supervisor, worker, _, _, _ = task_supervisor(start_command('ocr', 2, 4))
+    supervisor.on_throttle(ThrottleTask('ocr', 1, 0, 1, 0.25))
     assert not worker.shares
-    tasks.on_throttle(ThrottleTask('ocr', 1, 1, 1, 0.5))
+    supervisor.on_throttle(ThrottleTask('ocr', 1, 1, 1, 0.5))
     assert worker.shares == {'ocr': 0.5}
-    (usage,) = tasks.usage()
+    (usage,) = supervisor.usage()
     assert (usage.running, usage.share) == (1, 0.5)
 
 
-def test_tail_window_forgets_and_is_silent_on_few_calls():
+def test_tail_window_expires_and_reports_nothing_on_few_calls():
     window = TailWindow()
     for took in range(100):
         window.add(0, took)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,18 +1,18 @@
-"""Placement decisions: spread, sizes, quotas, quarantine, urgent work."""
+"""Tests of placement: spread, sizes, quotas, quarantine, preemption."""
 
 import json
 from collections import Counter
 
 from hyssopring.configuration import ConfigurationState, JobSubmission
 from hyssopring.membership import AgentRecord
+from hyssopring.placement.quarantine import WorkerHealth
+from hyssopring.placement.quotas import TeamUsage
+from hyssopring.placement.sizes import LearnedSizes
 from hyssopring.placement.worker_ranking import (
     Candidate,
     WorkerRanking,
     infeasibility_reason,
 )
-from hyssopring.placement.quarantine import WorkerHealth
-from hyssopring.placement.quotas import TeamUsage
-from hyssopring.placement.sizes import LearnedSizes
 from hyssopring.protocol.messages import (
     ConfigurationItem,
     ConfigurationUpdate,
@@ -21,14 +21,14 @@
 )
 from standins.virtual import VirtualDeployment
 
-ONE = Resources(1, 2)
+ONE_CORE = Resources(1, 2)
 
 
-class Harmless:
+class NoSlowdown:
     def predict(self, agent, size):
         return 0
 
-    def take(self, agent, size):
+    def add_start(self, agent, size):
         pass
 
 
@@ -38,14 +38,16 @@
     )
 
 
-def used(cores, running=1, kind='batch', service='trust/feed', reserved=1):
+def task_usage(
+    cores, running=1, kind='batch', service='trust/feed', reserved=1
+):
     return TaskUsage(
         service, kind, 2, running, Resources(reserved * running, 2 * running),
         Resources(cores, 2 * running),
     )  # fmt: skip
 
 
-def configured(documents):
+def configuration_state(documents):
     state = ConfigurationState()
     items = tuple(
         ConfigurationItem(key, 1, json.dumps(document))
@@ -55,9 +57,9 @@
     return state
 
 
-def feed_state(**parameters):
+def feed_configuration(**parameters):
     size = {'cores': 4.0, 'memory_gb': 8.0}
-    return configured(
+    return configuration_state(
         {
             'template/feed': {'kind': 'batch', 'size': size},
             'parameters/trust/feed': parameters,
@@ -66,44 +68,44 @@
     )
 
 
-def test_job_is_spread_so_that_a_lost_rack_takes_few_of_its_tasks():
+def test_job_is_spread_evenly_over_racks():
     agents = [
         record(f'agent-{n}', f'rack-{n // 3}', f'zone-{n % 3}')
         for n in range(11)
     ]
     ranking = WorkerRanking(
-        ONE,
+        ONE_CORE,
         [Candidate(agent, agent.free) for agent in agents],
         Counter({'rack-0': 2}),
-        Harmless(),
+        NoSlowdown(),
     )
-    load = Counter(ranking.choose().agent.rack for _ in range(10))
-    load['rack-0'] += 2
-    assert set(load.values()) == {3}
+    task_count_by_rack = Counter(ranking.choose().agent.rack for _ in range(10))
+    task_count_by_rack['rack-0'] += 2
+    assert set(task_count_by_rack.values()) == {3}
 
 
-def test_ranking_fills_what_fits_and_then_says_no():
+def test_ranking_places_what_fits_and_then_returns_no_worker():
     agents = [record('a', 'r0'), record('b', 'r1', capacity=Resources(4, 60))]
     ranking = WorkerRanking(
         Resources(4, 4),
         [Candidate(agent, agent.free) for agent in agents],
         Counter(),
-        Harmless(),
+        NoSlowdown(),
     )
     placed = Counter(
-        placement.agent.agent_id if placement.agent else placement.why
+        placement.agent.agent_id if placement.agent else placement.reason
         for placement in (ranking.choose() for _ in range(6))
     )
     assert placed == {'a': 4, 'b': 1, 'no room now': 1}
 
 
-def test_avoided_worker_is_passed_over_and_stays_for_others():
+def test_avoided_worker_is_skipped_and_stays_available_to_others():
     agents = [record('a', 'r0'), record('b', 'r1')]
     ranking = WorkerRanking(
-        ONE,
+        ONE_CORE,
         [Candidate(agent, agent.free) for agent in agents],
         Counter(),
-        Harmless(),
+        NoSlowdown(),
     )
     assert ranking.choose(['a']).agent.agent_id == 'b'
     assert ranking.choose(['a', 'b']).agent is None
@@ -111,32 +113,38 @@
 
 
 def test_task_too_large_for_every_worker_is_explained():
-    policy = feed_state().policy('trust/feed')
+    policy = feed_configuration().policy('trust/feed')
     agents = [record('a', 'r0', capacity=Resources(2, 60))]
-    why = infeasibility_reason(policy, policy.size, agents)
-    assert 'needs 4.0 cores' in why and 'has 2.0' in why
+    reason = infeasibility_reason(policy, policy.size, agents)
+    assert 'needs 4.0 cores' in reason and 'has 2.0' in reason
     assert not infeasibility_reason(policy, Resources(2, 2), agents)
 
 
-def test_sizes_grow_to_what_is_used_and_never_below_declared():
+def test_sizes_grow_to_measured_use_and_never_below_declared():
     sizes = LearnedSizes()
     for _ in range(8):
-        sizes.observe([used(6, running=2)])
-    assert sizes.needed('trust/feed', ONE) == Resources(3, 2)
+        sizes.observe([task_usage(6, running=2)])
+    assert sizes.needed('trust/feed', ONE_CORE) == Resources(3, 2)
     assert sizes.needed('trust/feed', Resources(4, 8)) == Resources(4, 8)
 
 
 def test_quota_counts_reports_and_own_starts():
-    use = TeamUsage(feed_state(), [record('a', 'r0', usage=(used(1, 4),))])
-    assert not use.refusal('trust', 6)
-    use.add('trust', 4)
-    assert use.refusal('trust', 6).startswith('quota of trust: 8.0 of 10.0')
+    team_usage = TeamUsage(
+        feed_configuration(), [record('a', 'r0', usage=(task_usage(1, 4),))]
+    )
+    assert not team_usage.refusal_reason('trust', 6)
+    team_usage.add('trust', 4)
+    assert team_usage.refusal_reason('trust', 6).startswith(
+        'quota of trust: 8.0 of 10.0'
+    )
 
 
 def test_worker_that_fails_everything_gets_one_probe_at_growing_intervals():
-    """One worker fails whatever it starts at once, so it is always empty and
-    draws each next task: jobs fail although ten workers are well. After three
-    failures of work that succeeds elsewhere it must get only probes."""
+    """A worker that fails every task at once is always empty.
+
+    Without quarantine it attracts every next task, and jobs fail although the
+    other workers are healthy.
+    """
     health = WorkerHealth()
     health.on_success('good', 'trust/feed', 0)
     for _ in range(3):
@@ -152,8 +160,7 @@
 
 
 def test_job_that_fails_everywhere_quarantines_no_worker():
-    """A broken template fails on every worker. The workers are well, and
-    other jobs must go on getting all of them."""
+    """A broken template fails everywhere; the workers must stay usable."""
     health = WorkerHealth()
     for number in range(30):
         health.on_failure(f'agent-{number % 3}', 'trust/broken', 0, 3)
@@ -192,7 +199,7 @@
     assert accepted[0].is_ok()
 
 
-def starts_of(deployment, job):
+def job_starts(deployment, job):
     return [
         (when, name)
         for name, agent in deployment.agent_by_name.items()
@@ -202,9 +209,11 @@
 
 
 def test_urgent_job_on_a_full_fleet_starts_within_2_s_of_its_acceptance():
-    """Feed rounds fill every core when a farrier is called. One feed round
-    per urgent task is checkpointed, starts again later from its checkpoint,
-    and everything completes exactly once."""
+    """Batch tasks use every core when an urgent job arrives.
+
+    One batch task per urgent task is checkpointed and resumed later, and
+    every task completes exactly once.
+    """
     size = {'cores': 4.0, 'memory_gb': 4.0}
     deployment = deployment_with(
         {
@@ -218,11 +227,11 @@
     )  # fmt: skip
     submit(deployment, 'feed', 'feed', 12)
     deployment.run(8000)
-    assert len(starts_of(deployment, 'feed')) == 12
+    assert len(job_starts(deployment, 'feed')) == 12
     submitted_at = deployment.loop.now
     submit(deployment, 'call', 'farrier', 2)
     deployment.run(3000)
-    starts = starts_of(deployment, 'call')
+    starts = job_starts(deployment, 'call')
     assert len(starts) == 2
     assert max(when for when, _ in starts) - submitted_at < 2000
     deployment.run(60_000)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""What a planner makes of an agent that names all its tasks."""
+"""Tests of reconciling a planner's tasks with an agent's complete report."""
 
 import json
 
@@ -9,11 +9,13 @@
 from hyssopring.protocol.messages import TaskReport, TaskStatus
 
 
-def test_lost_start_is_found_behind_an_ended_attempt():
-    """A job never ends: an attempt was stopped, the start of the next one was
-    lost with a connection that had gone silent, and on the new connection the
-    agent still named the stopped attempt. Its id was taken for the new one,
-    which no later report mentions."""
+def test_lost_start_is_detected_despite_an_ended_attempt():
+    """The start of a second attempt is lost with its connection.
+
+    On the new connection the agent still reports the stopped first attempt.
+    If that report is applied to the second attempt, which no later report
+    mentions, the job never ends.
+    """
     deployment = booking_deployment(entries=1, agents=1)
     entry = deployment.entry()
     for key, document in (
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks under failure: never in two places, resumed once, recorded once."""
+"""Tests of tasks under failures: one run at a time, one recorded end."""
 
 import json
 
@@ -14,7 +14,7 @@
 TIMES = LeaseTimes(batch_ttl_ms=6000, keeper_ttl_ms=12_000)
 
 
-def deployed(keepers=0, run_ms=5000.0, **options):
+def started_deployment(keepers=0, run_ms=5000.0, **options):
     options.setdefault('lease_times', TIMES)
     deployment = VirtualDeployment(**options)
     deployment.run(4000)
@@ -31,7 +31,7 @@
 
 
 def run_checked(deployment, millis, step=20):
-    """Run; at each step no task may run on two workers."""
+    """Run the deployment; fail if a task runs on two workers at any step."""
     for _ in range(int(millis / step)):
         deployment.run(step)
         twice = [
@@ -59,7 +59,7 @@
 
 
 def history(deployment, what):
-    workers = {id(each.worker): each.worker for each in deployment.workers}
+    workers = {id(node.worker): node.worker for node in deployment.workers}
     return sorted(
         task
         for worker in workers.values()
@@ -68,8 +68,8 @@
     )
 
 
-def cut(deployment, agent, *entries):
-    """The network between an agent and entries loses all, silently."""
+def drop_messages(deployment, agent, *entries):
+    """Drop all messages between an agent and entries without an error."""
     for entry in entries:
         deployment.blocked_pairs.add((entry.name, agent.name))
         link = agent.link_by_entry.get(entry.name)
@@ -79,15 +79,16 @@
 
 @pytest.mark.parametrize('rates', [(1.0, 0.97), (1.02, 0.98)])
 def test_holder_paused_past_its_lease_runs_nothing_twice(rates):
-    """The only entry that reaches a VM is frozen for 20 s, and goes on.
+    """The only entry connected to a VM is paused for 20 s and resumes.
 
-    The other entry takes its shards and waits for the VM's leases. The VM's
-    clock is slow; the frozen entry wakes and still thinks that it plans.
+    The other entry acquires its shards and waits for the VM's leases to
+    expire. The VM's clock is slow, and the paused entry resumes with its old
+    state as the holder of the shards.
     """
     rate_by_name = {'entry-1': rates[0], 'agent-0': rates[1]}
-    deployment = deployed(keepers=6, rate_by_name=rate_by_name)
+    deployment = started_deployment(keepers=6, rate_by_name=rate_by_name)
     submit(deployment, 6)
-    cut(deployment, deployment.agent(0), deployment.entry(1))
+    drop_messages(deployment, deployment.agent(0), deployment.entry(1))
     run_checked(deployment, 2000)
     deployment.entry(0).is_paused = True
     run_checked(deployment, 20_000)
@@ -98,9 +99,9 @@
     assert counts(deployment, entry=1) == {'completed': 6}
 
 
-def test_paused_agent_and_worker_find_their_leases_lapsed():
-    """A whole VM is frozen past its leases and goes on as if nothing was."""
-    deployment = deployed(keepers=6)
+def test_paused_agent_and_worker_find_their_leases_expired():
+    """A whole VM is paused past its leases and resumes with its old state."""
+    deployment = started_deployment(keepers=6)
     frozen = deployment.agent(0)
     assert frozen.worker.worker.running()
     frozen.is_paused = frozen.worker.is_paused = True
@@ -112,12 +113,12 @@
 
 
 def test_replaced_vm_is_no_proof_that_the_old_one_stopped():
-    """A VM is replaced; the old one still runs, cut off from all.
+    """A VM is replaced while the old one still runs behind a partition.
 
-    The new agent has the same id and truly reports that nothing runs. The
-    keepers of the old VM run on until its leases have run out.
+    The new agent has the same id and reports that nothing runs. The keepers
+    of the old VM run until its leases expire.
     """
-    deployment = deployed(keepers=6)
+    deployment = started_deployment(keepers=6)
     old = deployment.agent(0)
     on_old = len(old.worker.worker.running())
     for entry in deployment.entry_by_name.values():
@@ -134,9 +135,9 @@
     assert sum(deployment.places_by_task().values()) == 6
 
 
-def test_restarted_agent_goes_on_with_what_its_worker_runs():
-    """Every keeper of a VM restarts when its agent is updated."""
-    deployment = deployed(keepers=6)
+def test_restarted_agent_keeps_the_tasks_of_its_worker():
+    """An agent is updated; the keepers on its VM must not restart."""
+    deployment = started_deployment(keepers=6)
     before = history(deployment, 'start')
     deployment.kill_agent(0)
     deployment.run(200)
@@ -148,8 +149,11 @@
 
 @pytest.mark.parametrize('lost_after', range(0, 3000, 250))
 def test_completion_is_recorded_once_when_an_answer_is_lost(lost_after):
-    """A rebuild runs twice and leaves duplicate articles."""
-    deployment = deployed(run_ms=1500.0)
+    """The store's answer to the write of a completion is lost.
+
+    If the task ran again, its results would be duplicated.
+    """
+    deployment = started_deployment(run_ms=1500.0)
     submit(deployment, 8)
     deployment.run(lost_after)
     for entry in deployment.entry_by_name.values():
@@ -161,13 +165,13 @@
 
 
 def test_assigned_task_whose_start_was_never_sent_is_placed_again(monkeypatch):
-    """A job waits for good although every worker is idle.
+    """A planner records an assignment and crashes before it sends the start.
 
-    A planner records an assignment and dies before the start is sent. The
-    agents name their tasks to the next planner just as its lease is in
-    doubt, so it drops their word, and they had named them only once.
+    The agents report their tasks once to the next planner, which drops these
+    reports while its lease is in doubt. The job must not wait forever while
+    every worker is idle.
     """
-    deployment = deployed()
+    deployment = started_deployment()
     submit(deployment, 3)
     planners = [
         entry.core.planner for entry in deployment.entry_by_name.values()
@@ -175,15 +179,17 @@
     dropped = []
     for planner in planners:
         monkeypatch.setattr(
-            planner, 'on_report', lambda *word: dropped.append(word)
+            planner, 'on_report', lambda *arguments: dropped.append(arguments)
         )
     for agent in deployment.agent_by_name.values():
-        monkeypatch.setattr(agent.core.tasks, 'on_start', lambda *word: None)
+        monkeypatch.setattr(
+            agent.core.tasks, 'on_start', lambda *arguments: None
+        )
     deployment.run(3000)
     monkeypatch.undo()
     for planner in planners:
         monkeypatch.setattr(
-            planner, 'on_report', lambda *word: dropped.append(word)
+            planner, 'on_report', lambda *arguments: dropped.append(arguments)
         )
     for agent in deployment.agent_by_name.values():
         for link in list(agent.link_by_entry.values()):
@@ -195,16 +201,16 @@
     assert counts(deployment) == {'completed': 3}
 
 
-def test_starts_of_a_dropped_plan_keep_no_room():
-    """Jobs wait for room for good on an idle fleet.
+def test_starts_of_a_dropped_plan_reserve_no_resources():
+    """A planner assigns tasks, then the table stops answering.
 
-    A planner assigns tasks, and the table answers no more. Its lease lapses
-    and the plan is dropped with the assignments unsent; their room is still
-    counted when the same entry plans the shard again.
+    Its lease expires and the plan is dropped with the starts unsent. If their
+    resources were still counted when the same entry plans the shard again,
+    jobs would wait forever on an idle fleet.
     """
-    deployment = deployed(run_ms=1000.0, entries=1)
+    deployment = started_deployment(run_ms=1000.0, entries=1)
     submit(deployment, 60)
-    planners = [each.core.planner for each in deployment.entry_by_name.values()]
+    planners = [node.core.planner for node in deployment.entry_by_name.values()]
     while not any(list(planner.tasks()) for planner in planners):
         deployment.run(1)
     deployment.table.outage = True
@@ -215,13 +221,13 @@
 
 
 def test_evicted_task_resumes_from_its_checkpoint():
-    deployment = deployed(run_ms=8000.0)
+    deployment = started_deployment(run_ms=8000.0)
     submit(deployment, 1)
     deployment.run(4000)
     (agent,) = [
-        each
-        for each in deployment.agent_by_name.values()
-        if each.worker.worker.running()
+        node
+        for node in deployment.agent_by_name.values()
+        if node.worker.worker.running()
     ]
     agent.core.tasks.close('test')
     run_checked(deployment, 6000)
@@ -230,12 +236,12 @@
     assert history(deployment, 'complete') == ['morning:0']
 
 
-def test_cancellations_in_a_wave_race_completion():
-    """Hundreds of jobs are cancelled at once while their tasks end.
+def test_many_cancellations_race_completion():
+    """A hundred jobs are cancelled at once while their tasks complete.
 
-    Each task has one end, whichever came first, and nothing runs on.
+    Each task must have exactly one final state, and none may keep running.
     """
-    deployment = deployed(run_ms=2000.0)
+    deployment = started_deployment(run_ms=2000.0)
     jobs = [f'job-{number}' for number in range(100)]
     for job in jobs:
         submit(deployment, 2, job)
@@ -252,7 +258,7 @@
 
 
 def test_cancel_before_the_job_was_read_and_twice():
-    deployment = deployed()
+    deployment = started_deployment()
     submit(deployment, 4)
     deployment.run(10)
     for _ in range(2):
@@ -262,16 +268,19 @@
     assert not deployment.table.read('inbox/')
 
 
-def test_planner_dies_between_a_jobs_chunks(monkeypatch):
-    """A job of 300 tasks has 64 for ever: its planner died after the first
-    row, and the letter that told of the job was gone."""
+def test_planner_crash_between_the_chunks_of_a_job_loses_no_task(monkeypatch):
+    """A planner crashes after writing the first chunk of a job of 300 tasks.
+
+    If the job's inbox row were already deleted, the job would keep only the
+    64 tasks of that chunk.
+    """
     monkeypatch.setattr(chunk_writer, '_MAX_CHUNKS', 1)
-    deployment = deployed(run_ms=200.0)
+    deployment = started_deployment(run_ms=200.0)
     submit(deployment, 300, entry=1)
     while len(deployment.table.read('chunks/')) < 2 + 1:
         deployment.run(1)
-    (letter,) = deployment.table.read('inbox/')
-    shard = int(letter[0].split('/')[1])
+    (inbox_row,) = deployment.table.read('inbox/')
+    shard = int(inbox_row[0].split('/')[1])
     holder = next(
         number
         for number in range(2)
@@ -283,7 +292,7 @@
 
 
 def test_keepers_follow_the_configuration():
-    deployment = deployed(keepers=3)
+    deployment = started_deployment(keepers=3)
     key = 'parameters/viva/index'
     for count in (5, 2, 4, 0):
         version = deployment.entry().core.configuration.item(key).version
@@ -292,9 +301,9 @@
         assert sum(deployment.places_by_task().values()) == count
 
 
-def test_worker_that_fails_everything_does_not_use_up_the_tries():
-    """One broken VM must fail no job."""
-    deployment = deployed(run_ms=500.0)
+def test_worker_that_fails_everything_does_not_use_up_the_attempts():
+    """A single broken VM must not make a job fail."""
+    deployment = started_deployment(run_ms=500.0)
     deployment.agent(0).worker.worker.fails = True
     submit(deployment, 12)
     run_checked(deployment, 60_000)
@@ -302,7 +311,7 @@
 
 
 def test_job_that_can_never_run_is_refused():
-    deployment = deployed()
+    deployment = started_deployment()
     big = {'cores': 64.0, 'memory_gb': 2.0}
     deployment.configure(
         'template/feed',
@@ -317,9 +326,12 @@
 
 
 def test_two_entries_plan_at_once_and_backends_count():
-    """Both entries see the same room on one VM, a backend server announces
-    itself in between, and each gives the VM all that it can hold."""
-    deployment = deployed(agents=1, run_ms=3000.0)
+    """Two entries assign tasks to the same free resources of one VM.
+
+    Backend servers announce themselves there at the same time. The VM must
+    not be overcommitted by more than these.
+    """
+    deployment = started_deployment(agents=1, run_ms=3000.0)
     for key, document in (
         ('template/booking', {'kind': 'service', 'size': SIZE}),
         ('parameters/trust/booking', {}),
@@ -350,9 +362,9 @@
     assert not agent.core.ledger.reserve('t', Resources(14, 1, 0))
 
 
-def test_outage_keeps_what_runs_for_its_leases_and_repairs_afterwards():
-    """The table is down for longer than every lease."""
-    deployment = deployed(keepers=6)
+def test_outage_keeps_running_tasks_for_their_leases_and_recovers():
+    """The table is unavailable for longer than every lease."""
+    deployment = started_deployment(keepers=6)
     submit(deployment, 3)
     deployment.run(1000)
     deployment.table.outage = True
@@ -365,7 +377,7 @@
     assert counts(deployment) == {'completed': 3}
 
 
-def test_finished_job_is_forgotten_after_its_retention(monkeypatch):
+def test_finished_job_is_deleted_after_its_retention(monkeypatch):
     monkeypatch.setattr(shard_plan, '_RETENTION_MS', 20_000)
     events = []
     monkeypatch.setattr(
@@ -373,7 +385,7 @@
         'log_event',
         lambda event, **fields: events.append((event.name, fields['job'])),
     )
-    deployment = deployed(run_ms=200.0)
+    deployment = started_deployment(run_ms=200.0)
     submit(deployment, 2)
     deployment.run(5000)
     assert events.count(('JOB_FINISHED', 'morning')) == 1
