--- a/hyssopring/routing/__init__.py
+++ b/hyssopring/routing/__init__.py
@@ -1,16 +1,16 @@
-"""Routing decisions: which backend server gets a request, and when none."""
+"""Choose the backend server of each request, or refuse the request."""
 
-from hyssopring.routing.retry_budget import RetryBudget
-from hyssopring.routing.selector import BackendSelector, BackendChoice
-from hyssopring.routing.latency import LatencyWindow
 from hyssopring.routing.admission import AdmissionControl
 from hyssopring.routing.backend_state import RoutingSettings
+from hyssopring.routing.latency import LatencyWindow
+from hyssopring.routing.retry_budget import RetryBudget
+from hyssopring.routing.selector import BackendChoice, BackendSelector
 
 __all__ = (
     'AdmissionControl',
-    'BackendSelector',
     'BackendChoice',
+    'BackendSelector',
     'LatencyWindow',
-    'RoutingSettings',
     'RetryBudget',
+    'RoutingSettings',
 )
--- a/hyssopring/routing/admission.py
+++ b/hyssopring/routing/admission.py
@@ -1,4 +1,4 @@
-"""Refuses at once what an entry cannot serve in time or within a quota."""
+"""Refuse calls that exceed a team's quota or cannot meet their deadline."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -10,11 +10,11 @@
 
 __all__ = ('AdmissionControl',)
 
-_SECOND_MS: Final = 1000.0
+_MS_PER_SECOND: Final = 1000.0
 _BURST_MS: Final = 500.0
 _MIN_RETRY_MS: Final = 50.0
 _MAX_URGENCY: Final = 9
-_LEAST_SHARE: Final = 0.5
+_MIN_BUDGET_SHARE: Final = 0.5
 
 
 @dataclass(slots=True)
@@ -24,10 +24,14 @@
 
 
 class AdmissionControl:
-    """Token buckets by team, and the deadline against the expected wait."""
+    """Check calls against team quotas and against their deadlines.
+
+    Attributes:
+        entry_count: Number of entries that share the quotas.
+    """
 
     def __init__(self, clock: Clock, configuration: ConfigurationState) -> None:
-        """Take the quotas from the configuration in force."""
+        """Create the checks with the quotas of ``configuration``."""
         self._clock = clock
         self._configuration = configuration
         self._bucket_by_team: dict[str, _Bucket] = {}
@@ -36,20 +40,20 @@
         self.entry_count = 1
 
     def quota_failure(self, policy: ServicePolicy) -> Failure | None:
-        """Spend one of the team's requests; a failure if it has none left.
+        """Take a token from the team's bucket; return a failure if empty.
 
-        The balancer spreads callers evenly, so that each entry grants its
-        share of the quota without asking the others.
+        The load balancer spreads callers evenly, so that each entry grants an
+        equal share of the quota without coordination.
         """
-        rate = self._rate(policy.team)
-        bucket = self._filled(policy.team, rate)
+        rate = self._entry_rate(policy.team)
+        bucket = self._refilled_bucket(policy.team, rate)
         if bucket.tokens >= 1:
             bucket.tokens -= 1
             return None
         return Failure(
             ErrorKind.QUOTA,
             f'{policy.team} has more than {rate:.0f} requests/s here',
-            round(_SECOND_MS * max(1 / rate, 1)),
+            round(_MS_PER_SECOND * max(1 / rate, 1)),
         )
 
     def deadline_failure(
@@ -58,12 +62,19 @@
         urgency: int,
         budget_ms: float,
     ) -> Failure | None:
-        """Refuse a call whose expected time leaves too little of its budget.
+        """Return a failure if a call is expected to exceed its time budget.
+
+        The least urgent calls may use half of their budget, the most urgent
+        all of it: when a queue builds up, less urgent calls are refused first.
 
-        The least urgent may use half of their budget, the most urgent all:
-        when a queue builds up, the less urgent are refused first.
+        Args:
+            choice: The chosen backend with the expected times.
+            urgency: Urgency of the service, 0 to 9.
+            budget_ms: Time left until the deadline.
         """
-        share = _LEAST_SHARE + (1 - _LEAST_SHARE) * urgency / _MAX_URGENCY
+        share = (
+            _MIN_BUDGET_SHARE + (1 - _MIN_BUDGET_SHARE) * urgency / _MAX_URGENCY
+        )
         if choice.total_ms <= budget_ms * share:
             return None
         return Failure(
@@ -73,7 +84,7 @@
             round(max(choice.wait_ms, _MIN_RETRY_MS)),
         )
 
-    def _rate(self, team: str) -> float:
+    def _entry_rate(self, team: str) -> float:
         if self._version != self._configuration.version:
             self._version = self._configuration.version
             self._rate_by_team.clear()
@@ -83,14 +94,14 @@
             self._rate_by_team[team] = rate
         return rate / max(self.entry_count, 1)
 
-    def _filled(self, team: str, rate: float) -> _Bucket:
-        now = self._clock.now()
-        most = max(rate * _BURST_MS / _SECOND_MS, 1)
+    def _refilled_bucket(self, team: str, rate: float) -> _Bucket:
+        now_ms = self._clock.now()
+        capacity = max(rate * _BURST_MS / _MS_PER_SECOND, 1)
         bucket = self._bucket_by_team.get(team)
         if bucket is None:
-            bucket = _Bucket(most, now)
+            bucket = _Bucket(capacity, now_ms)
             self._bucket_by_team[team] = bucket
-        earned = (now - bucket.filled_at) * rate / _SECOND_MS
-        bucket.tokens = min(bucket.tokens + earned, most)
-        bucket.filled_at = now
+        refill = (now_ms - bucket.filled_at) * rate / _MS_PER_SECOND
+        bucket.tokens = min(bucket.tokens + refill, capacity)
+        bucket.filled_at = now_ms
         return bucket
--- a/hyssopring/routing/backend_state.py
+++ b/hyssopring/routing/backend_state.py
@@ -1,7 +1,7 @@
-"""What one entry has itself seen of each backend server.
+"""State of each backend server as observed by one entry.
 
-Reports from agents are old when they are used; what this entry sent and saw
-answered is its own, fresh knowledge. A track joins both.
+Agents' load reports are outdated when they are used, while an entry knows its
+own calls and answers at once. The state combines both.
 """
 
 import math
@@ -10,30 +10,33 @@
 
 __all__ = ('BackendState', 'Ejection', 'RoutingSettings')
 
-_MIN_MS: Final = 0.05
+_MIN_LATENCY_MS: Final = 0.05
 _HALF: Final = 0.5
-_GAPS: Final = 8
+_STALL_GAP_FACTOR: Final = 8
 _GAP_WEIGHT: Final = 0.1
-_LONG_GAP_MS: Final = 1000.0
+_MAX_GAP_MS: Final = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """Constants of the routing policy; docs/design/routing.md has the why.
+    """Constants of the routing policy, explained in docs/design/routing.md.
 
     Attributes:
-        report_weight: How far a load report that has just come is believed.
-        report_half_life_ms: After this long a load report counts half.
+        report_weight: Weight of a load report that has just arrived.
+        report_half_life_ms: Time after which that weight has halved.
         latency_weight: Weight of one answer in a backend's mean latency.
-        zone_cost_ms: Round trip to another zone, above that within one.
-        min_stall_ms: Nothing is called stalled sooner than this.
-        stall_factor: A backend has stalled when its oldest call is older
-            than this many 95th percentiles, and nothing came for as long
-            and for eight times the mean gap between its answers.
-        slow_ratio: Ejected when this many times slower than the median.
-        failures: Ejected after so many failures in a row.
-        max_ejected: Share of a service's backends that may be ejected.
-        slow_start_ms: Time in which a fresh backend reaches its full share.
+        zone_cost_ms: Additional round-trip time to another zone.
+        min_stall_ms: Minimum silence before a backend counts as stalled.
+        stall_factor: A backend has stalled when its oldest call is older than
+            this multiple of the 95th percentile, and no answer has arrived
+            for as long and for eight times the mean gap between answers.
+        slow_ratio: Ratio to the median latency above which a backend is
+            ejected as slow.
+        failures: Number of consecutive failures before an ejection.
+        max_ejected: Fraction of a service's backends that may be ejected.
+        ejection_ms: Duration of the first ejection, doubled for each repeat.
+        max_ejection_ms: Upper limit of that duration.
+        slow_start_ms: Time in which a new backend reaches its full share.
     """
 
     report_weight: float = 0.5
@@ -52,108 +55,125 @@
 
 @dataclass(slots=True)
 class Ejection:
-    """Why a backend gets no work but probes, and until when."""
+    """Ejection of a backend, which gets only probes.
 
-    why: str
+    Attributes:
+        reason: 'failing', 'stalled' or 'slow'.
+        until: Clock time in milliseconds of the next probe.
+        probe_id: Request id of the probe in flight, '' if there is none.
+    """
+
+    reason: str
     until: float
     probe_id: str = ''
 
 
 @dataclass(slots=True)
 class BackendState:
-    """One backend server, as this entry's own calls have met it.
+    """State of one backend server. Times are clock milliseconds.
 
     Attributes:
-        log_latency: Mean of the logarithms of its latencies: one very long
-            call moves it little, a slow backend moves it in a few answers.
-        reported: Calls running and waiting there, by its latest report.
-        gap_ms: Mean time between two answers.
-        sent_since: Calls sent since that report.
-        sent_at_by_id: Unanswered calls, oldest first.
+        since: When this entry first received a report of the backend.
+        log_latency: Moving average of the log latency. A single long call
+            changes it little, a slow backend within a few answers.
+        samples: Number of answers in that average.
+        last_response_at: Time of the last response.
+        gap_ms: Mean time between two responses.
+        reported: Running and queued calls in the latest report.
+        reported_at: Time of that report.
+        sent_since_report: Calls sent since that report.
+        failures: Number of consecutive failures.
+        ejection_count: Number of ejections and extensions since it was healthy.
+        ejection: The current ejection, None if there is none.
+        sent_at_by_id: Send times of unanswered calls, oldest first.
     """
 
     since: float
     log_latency: float = 0
     samples: int = 0
-    answered_at: float = 0
+    last_response_at: float = 0
     gap_ms: float = 1000
     reported: int = 0
     reported_at: float = 0
-    sent_since: int = 0
+    sent_since_report: int = 0
     failures: int = 0
-    ejections: int = 0
+    ejection_count: int = 0
     ejection: Ejection | None = None
     sent_at_by_id: dict[str, float] = field(default_factory=dict)
 
     @property
     def in_flight(self) -> int:
-        """Calls of this entry that it has not answered."""
+        """Number of this entry's unanswered calls."""
         return len(self.sent_at_by_id)
 
-    def report(self, total: int, now: float) -> None:
-        """Take a load report."""
-        self.reported = total
-        self.reported_at = now
-        self.sent_since = 0
-
-    def sent(self, request_id: str, now: float) -> None:
-        """A call goes out."""
-        self.sent_at_by_id[request_id] = now
-        self.sent_since += 1
-
-    def hear(self, now: float) -> None:
-        """A response of any kind came from the backend."""
-        gap = min(now - self.answered_at, _LONG_GAP_MS)
-        self.gap_ms += _GAP_WEIGHT * (gap - self.gap_ms)
-        self.answered_at = now
-
-    def learn(self, took_ms: float, weight: float) -> None:
-        """Take the latency of one answer."""
-        seen = math.log(max(took_ms, _MIN_MS))
+    def update_load(self, call_count: int, now_ms: float) -> None:
+        """Store a load report of running and queued calls."""
+        self.reported = call_count
+        self.reported_at = now_ms
+        self.sent_since_report = 0
+
+    def record_sent(self, request_id: str, now_ms: float) -> None:
+        """Record a sent call."""
+        self.sent_at_by_id[request_id] = now_ms
+        self.sent_since_report += 1
+
+    def record_response(self, now_ms: float) -> None:
+        """Record the arrival of a response of any kind."""
+        gap_ms = min(now_ms - self.last_response_at, _MAX_GAP_MS)
+        self.gap_ms += _GAP_WEIGHT * (gap_ms - self.gap_ms)
+        self.last_response_at = now_ms
+
+    def record_latency(self, took_ms: float, weight: float) -> None:
+        """Add the latency of one answer to the average."""
+        log_ms = math.log(max(took_ms, _MIN_LATENCY_MS))
         self.samples += 1
-        share = max(weight, 1 / self.samples)
-        self.log_latency += share * (seen - self.log_latency)
+        rate = max(weight, 1 / self.samples)
+        self.log_latency += rate * (log_ms - self.log_latency)
 
-    def suspected(self, now: float, weight: float) -> float:
-        """Return the mean log latency, with what calls still out tell.
+    def suspected_log_latency(self, now_ms: float, weight: float) -> float:
+        """Return the mean log latency, including the age of open calls.
 
-        A backend that turned slow sends no answers to learn from for a
-        while; that its calls are older than usual is seen at once.
+        A backend that has become slow sends no answers for a while, but the
+        age of its unanswered calls shows the slowdown at once.
         """
         mean = self.log_latency
         for sent_at in self.sent_at_by_id.values():
-            age = math.log(max(now - sent_at, _MIN_MS))
-            if age <= mean:
+            log_age = math.log(max(now_ms - sent_at, _MIN_LATENCY_MS))
+            if log_age <= mean:
                 break
-            mean += weight * (age - mean)
+            mean += weight * (log_age - mean)
         return mean
 
-    def load(
-        self, now: float, prior: float, settings: RoutingSettings
+    def estimated_load(
+        self, now_ms: float, prior: float, settings: RoutingSettings
     ) -> float:
-        """Estimate the calls running and waiting there now.
+        """Estimate the number of running and queued calls.
 
         Args:
-            now: Milliseconds.
-            prior: What this entry's own calls there let expect of all.
-            settings: How far reports are believed.
+            now_ms: Clock time in milliseconds.
+            prior: Estimate extrapolated from this entry's own calls.
+            settings: Weight and half-life of load reports.
         """
-        age = now - self.reported_at
-        fresh = settings.report_weight * _HALF ** (
+        age = now_ms - self.reported_at
+        report_weight = settings.report_weight * _HALF ** (
             age / settings.report_half_life_ms
         )
-        reported = self.reported + self.sent_since
-        return max(self.in_flight, fresh * reported + (1 - fresh) * prior)
+        reported = self.reported + self.sent_since_report
+        return max(
+            self.in_flight,
+            report_weight * reported + (1 - report_weight) * prior,
+        )
 
-    def is_stalled(self, now: float, limit_ms: float) -> bool:
-        """Whether it owes an answer for too long and sent none since.
+    def is_stalled(self, now_ms: float, limit_ms: float) -> bool:
+        """Whether a call is overdue and no answer has arrived since.
 
-        Where answers come often, a gap of many times the usual is enough.
+        The silence must exceed the limit and a multiple of the mean gap
+        between answers.
         """
-        oldest = next(iter(self.sent_at_by_id.values()), now)
-        silence = now - max(oldest, self.answered_at)
-        return silence > max(limit_ms, _GAPS * self.gap_ms)
+        oldest_sent_at = next(iter(self.sent_at_by_id.values()), now_ms)
+        silence_ms = now_ms - max(oldest_sent_at, self.last_response_at)
+        return silence_ms > max(limit_ms, _STALL_GAP_FACTOR * self.gap_ms)
 
-    def ramp(self, now: float, slow_start_ms: float) -> float:
-        """Share of its slots that a fresh backend is trusted with."""
-        return min(1, max((now - self.since) / slow_start_ms, 1 / 8))
+    def slow_start_fraction(self, now_ms: float, slow_start_ms: float) -> float:
+        """Return the fraction of its slots that a new backend may fill."""
+        return min(1, max((now_ms - self.since) / slow_start_ms, 1 / 8))
--- a/hyssopring/routing/ejection.py
+++ b/hyssopring/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Ejects backend servers that fail, stall or are far slower than others."""
+"""Eject backend servers that fail, stall or are much slower than others."""
 
 import math
 import random
@@ -7,159 +7,174 @@
 
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import BackendView
-from hyssopring.routing.latency import LatencyWindow
 from hyssopring.routing.backend_state import (
     BackendState,
     Ejection,
     RoutingSettings,
 )
+from hyssopring.routing.latency import LatencyWindow
 
-__all__ = ('Ejector', 'Tracked')
+__all__ = ('BackendStates', 'Ejector')
 
 _MIN_SAMPLES: Final = 5
 _MAX_DOUBLINGS: Final = 8
-_SPREAD: Final = 0.3
-_GOOD_PROBE: Final = 2.0
+_PROBE_JITTER: Final = 0.3
+_GOOD_PROBE_RATIO: Final = 2.0
 
-Tracked = Sequence[tuple[BackendView, BackendState]]
+BackendStates = Sequence[tuple[BackendView, BackendState]]
 
 
 class Ejector:
-    """Decides who gets no work but a probe now and then.
+    """Eject backends, probe them and restore them.
 
-    At most a share of a service's backends is ejected: if most look bad,
-    the cause is elsewhere, and ejecting them all would be an outage.
+    At most a fraction of a service's backends is ejected: if most of them
+    look unhealthy, the cause is elsewhere, and ejecting them all would cause
+    an outage.
     """
 
     def __init__(self, settings: RoutingSettings, rng: random.Random) -> None:
-        """Take the limits; ``rng`` spreads the entries' probes."""
+        """Create an ejector; ``rng`` spreads the probes of the entries."""
         self._settings = settings
         self._rng = rng
 
     def usable(
         self,
-        tracked: Tracked,
-        now: float,
-    ) -> Tracked:
-        """Return the backends that may get the next call."""
-        due = [pair for pair in tracked if _is_probe_due(pair[1], now)]
-        if due:
-            return due[:1]
-        sound = [pair for pair in tracked if _is_usable(pair[1])]
-        return sound or tracked
-
-    def answered(
+        backend_states: BackendStates,
+        now_ms: float,
+    ) -> BackendStates:
+        """Return the backends that may get the next call.
+
+        A backend whose probe is due comes alone, so that it gets the call.
+        """
+        due_probes = [
+            pair for pair in backend_states if _is_probe_due(pair[1], now_ms)
+        ]
+        if due_probes:
+            return due_probes[:1]
+        healthy = [pair for pair in backend_states if _is_usable(pair[1])]
+        return healthy or backend_states
+
+    def on_answer(
         self,
         view: BackendView,
-        track: BackendState,
+        state: BackendState,
         request_id: str,
         took_ms: float,
         window: LatencyWindow,
     ) -> None:
-        """Let a backend return when it has answered well."""
-        ejection = track.ejection
+        """Restore a backend after a good answer, or extend its ejection."""
+        ejection = state.ejection
         if ejection is None:
             return
         is_probe = request_id == ejection.probe_id
-        is_good = took_ms <= _GOOD_PROBE * max(
+        is_good = took_ms <= _GOOD_PROBE_RATIO * max(
             window.p95_ms / 2, window.median_ms
         )
-        if ejection.why != 'slow' or (is_probe and is_good):
-            self._restore(view, track)
+        if ejection.reason != 'slow' or (is_probe and is_good):
+            self._restore(view, state)
         elif is_probe:
-            self._extend(track, track.answered_at)
+            self._extend_ejection(state, state.last_response_at)
 
-    def failed(self, track: BackendState, now: float) -> None:
-        """Count a failure against an ejected backend's return."""
-        if track.ejection is not None:
-            self._extend(track, now)
+    def on_failure(self, state: BackendState, now_ms: float) -> None:
+        """Extend the ejection of a backend that has failed again."""
+        if state.ejection is not None:
+            self._extend_ejection(state, now_ms)
 
-    def judge(
+    def evaluate(
         self,
-        tracked: Tracked,
+        backend_states: BackendStates,
         window: LatencyWindow,
-        now: float,
+        now_ms: float,
     ) -> None:
-        """Eject who fails, stalls or is slow, as far as there is room."""
-        ejected = sum(1 for _, track in tracked if track.ejection is not None)
-        room = int(len(tracked) * self._settings.max_ejected) - ejected
-        if room <= 0:
+        """Eject failing, stalled and slow backends up to the limit."""
+        ejected_count = sum(
+            1 for _, state in backend_states if state.ejection is not None
+        )
+        remaining = (
+            int(len(backend_states) * self._settings.max_ejected)
+            - ejected_count
+        )
+        if remaining <= 0:
             return
-        slow_limit = self._slow_limit(tracked)
+        slow_limit = self._slow_limit(backend_states)
         stall_ms = max(
             self._settings.min_stall_ms,
             self._settings.stall_factor * window.p95_ms,
         )
-        for view, track in tracked:
-            if track.ejection is not None or room <= 0:
+        for view, state in backend_states:
+            if state.ejection is not None or remaining <= 0:
                 continue
-            why = self._fault(track, slow_limit, stall_ms, now)
-            if why:
-                room -= 1
-                self._eject(view, track, why, now)
-
-    def _slow_limit(self, tracked: Tracked) -> float:
-        known = [
-            track.log_latency
-            for _, track in tracked
-            if track.samples >= _MIN_SAMPLES
+            reason = self._ejection_reason(state, slow_limit, stall_ms, now_ms)
+            if reason:
+                remaining -= 1
+                self._eject(view, state, reason, now_ms)
+
+    def _slow_limit(self, backend_states: BackendStates) -> float:
+        log_latencies = [
+            state.log_latency
+            for _, state in backend_states
+            if state.samples >= _MIN_SAMPLES
         ]
-        if not known:
+        if not log_latencies:
             return math.inf
-        return statistics.median(known) + math.log(self._settings.slow_ratio)
+        return statistics.median(log_latencies) + math.log(
+            self._settings.slow_ratio
+        )
 
-    def _fault(
+    def _ejection_reason(
         self,
-        track: BackendState,
+        state: BackendState,
         slow_limit: float,
         stall_ms: float,
-        now: float,
+        now_ms: float,
     ) -> str:
-        if track.failures >= self._settings.failures:
+        if state.failures >= self._settings.failures:
             return 'failing'
-        if track.is_stalled(now, stall_ms):
+        if state.is_stalled(now_ms, stall_ms):
             return 'stalled'
-        if track.samples >= _MIN_SAMPLES and track.log_latency > slow_limit:
+        if state.samples >= _MIN_SAMPLES and state.log_latency > slow_limit:
             return 'slow'
         return ''
 
     def _eject(
         self,
         view: BackendView,
-        track: BackendState,
-        why: str,
-        now: float,
+        state: BackendState,
+        reason: str,
+        now_ms: float,
     ) -> None:
-        track.ejection = Ejection(why, now)
-        self._extend(track, now)
+        state.ejection = Ejection(reason, now_ms)
+        self._extend_ejection(state, now_ms)
         log_event(
             Event.BACKEND_EJECTED,
             backend=view.report.backend_id,
             agent=view.agent.agent_id,
-            why=why,
-            failures=track.failures,
-            unanswered=track.in_flight,
-            latency=f'{math.exp(track.log_latency):.1f}ms',
+            why=reason,
+            failures=state.failures,
+            unanswered=state.in_flight,
+            latency=f'{math.exp(state.log_latency):.1f}ms',
         )
 
-    def _extend(self, track: BackendState, now: float) -> None:
-        if track.ejection is None:
+    def _extend_ejection(self, state: BackendState, now_ms: float) -> None:
+        if state.ejection is None:
             return
-        doublings = min(track.ejections, _MAX_DOUBLINGS)
-        base = min(
+        doublings = min(state.ejection_count, _MAX_DOUBLINGS)
+        duration_ms = min(
             self._settings.ejection_ms * 2**doublings,
             self._settings.max_ejection_ms,
         )
-        track.ejections += 1
-        track.ejection.until = now + base * (1 + _SPREAD * self._rng.random())
-        track.ejection.probe_id = ''
-
-    def _restore(self, view: BackendView, track: BackendState) -> None:
-        track.ejection = None
-        track.ejections = 0
-        track.failures = 0
-        # Its mean latency is that of its bad time.
-        track.samples = 0
+        state.ejection_count += 1
+        state.ejection.until = now_ms + duration_ms * (
+            1 + _PROBE_JITTER * self._rng.random()
+        )
+        state.ejection.probe_id = ''
+
+    def _restore(self, view: BackendView, state: BackendState) -> None:
+        state.ejection = None
+        state.ejection_count = 0
+        state.failures = 0
+        # The mean latency was measured while the backend was unhealthy.
+        state.samples = 0
         log_event(
             Event.BACKEND_RESTORED,
             backend=view.report.backend_id,
@@ -167,15 +182,15 @@
         )
 
 
-def _is_probe_due(track: BackendState, now: float) -> bool:
-    ejection = track.ejection
-    if ejection is None or now < ejection.until:
+def _is_probe_due(state: BackendState, now_ms: float) -> bool:
+    ejection = state.ejection
+    if ejection is None or now_ms < ejection.until:
         return False
     return not ejection.probe_id
 
 
-def _is_usable(track: BackendState) -> bool:
-    # A slow backend's estimate keeps calls away by itself, for as long as
-    # the others are better. Taking its slots away altogether would overload
-    # them, and then they would look slow too.
-    return track.ejection is None or track.ejection.why == 'slow'
+def _is_usable(state: BackendState) -> bool:
+    # A slow backend stays usable: its estimate keeps calls away while others
+    # are faster. Removing its slots altogether would overload the others,
+    # which would then look slow too.
+    return state.ejection is None or state.ejection.reason == 'slow'
--- a/hyssopring/routing/selector.py
+++ b/hyssopring/routing/selector.py
@@ -1,4 +1,4 @@
-"""Chooses a backend server for a request on stale knowledge."""
+"""Choose a backend server for a request from delayed load reports."""
 
 import math
 import random
@@ -11,23 +11,23 @@
 from hyssopring.membership import AgentRecord, BackendView
 from hyssopring.outcomes import CallOutcome
 from hyssopring.protocol.messages import CallResponse
-from hyssopring.routing.ejection import Ejector, Tracked
-from hyssopring.routing.latency import LatencyWindow
 from hyssopring.routing.backend_state import (
     BackendState,
     RoutingSettings,
 )
+from hyssopring.routing.ejection import BackendStates, Ejector
+from hyssopring.routing.latency import LatencyWindow
 
-__all__ = ('BackendSelector', 'BackendChoice')
+__all__ = ('BackendChoice', 'BackendSelector')
 
-_DEFAULT_MS: Final = 20.0
+_DEFAULT_LATENCY_MS: Final = 20.0
 _MIN_SAMPLES: Final = 5
-_CROWDING: Final = 2.0
-_SLOWER: Final = 1.8
+_CROWDING_FACTOR: Final = 2.0
+_MIN_SLOW_RATIO: Final = 1.8
 _CROWDING_POWER: Final = 4
 _JITTER: Final = 0.02
-_JUDGE_MS: Final = 5.0
-_BACKEND_FAULTS: Final = frozenset(
+_EVALUATION_INTERVAL_MS: Final = 5.0
+_BACKEND_ERRORS: Final = frozenset(
     (
         ErrorKind.BACKEND_FAILED.value,
         ErrorKind.NO_BACKEND.value,
@@ -39,11 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendChoice:
-    """The chosen backend and the reason, for the log line.
+    """The backend chosen for a call.
 
     Attributes:
-        wait_ms: How long the call is expected to wait for a slot.
-        total_ms: Expected time until the answer.
+        backend: The chosen backend server.
+        why: Reason for the log.
+        wait_ms: Expected wait for a slot.
+        total_ms: Expected time until the answer, including the wait.
     """
 
     backend: BackendView
@@ -53,11 +55,12 @@
 
 
 class BackendSelector:
-    """Estimates each backend's time to answer and takes the least.
+    """Choose the backend with the shortest expected time to answer.
 
-    The estimate is network + service time x (1 + waiting + crowding), where
-    waiting counts the calls beyond the slots, and crowding keeps some slots
-    free for what other entries have just sent there unseen.
+    The estimate is network + service time x (1 + waiting + crowding). Waiting
+    counts the calls beyond the slots. Crowding grows as the slots fill up and
+    keeps some of them free for calls that other entries have sent since the
+    last report.
     """
 
     def __init__(
@@ -66,173 +69,205 @@
         rng: random.Random,
         settings: RoutingSettings = RoutingSettings(),
     ) -> None:
-        """Prefer ``zone`` until its queueing outweighs the distance."""
+        """Create a selector.
+
+        Args:
+            zone: The entry's availability zone, preferred until waiting there
+                costs more than the round trip to another zone.
+            rng: Random numbers for jitter and probe times.
+            settings: Constants of the routing policy.
+        """
         self._zone = zone
         self._rng = rng
         self._settings = settings
-        self._tracks_by_agent: dict[str, dict[str, BackendState]] = {}
-        self._service_by_name: dict[str, _Service] = {}
+        self._states_by_agent: dict[str, dict[str, BackendState]] = {}
+        self._service_by_name: dict[str, _ServiceState] = {}
         self._ejector = Ejector(settings, rng)
 
     def latency_window(self, service_name: str) -> LatencyWindow:
-        """Return a service's recent latencies."""
+        """Return the recent latencies of a service."""
         return self._service(service_name).window
 
     def utilization(self, service_name: str) -> float:
-        """Return the share of a service's slots that is taken."""
+        """Return the fraction of a service's slots that is in use."""
         return self._service(service_name).utilization
 
-    def track(self, view: BackendView) -> BackendState:
-        """Return what this entry has seen of a backend."""
-        tracks = self._tracks_by_agent.setdefault(view.agent.agent_id, {})
-        track = tracks.get(view.report.backend_id)
-        if track is None or track.since != view.since:
-            # Heard of for the first time, or on a new connection.
-            track = BackendState(view.since)
-            tracks[view.report.backend_id] = track
-        if view.reported_at > track.reported_at:
-            total = view.report.in_flight + view.report.queued
-            track.report(total, view.reported_at)
-        return track
+    def backend_state(self, view: BackendView) -> BackendState:
+        """Return the state of a backend, updated with its latest report."""
+        state_by_backend = self._states_by_agent.setdefault(
+            view.agent.agent_id, {}
+        )
+        state = state_by_backend.get(view.report.backend_id)
+        if state is None or state.since != view.since:
+            # The backend is new, or its agent has reconnected.
+            state = BackendState(view.since)
+            state_by_backend[view.report.backend_id] = state
+        if view.reported_at > state.reported_at:
+            call_count = view.report.in_flight + view.report.queued
+            state.update_load(call_count, view.reported_at)
+        return state
 
     def forget(self, record: AgentRecord) -> None:
-        """An agent's connection is gone: it starts afresh when it is back."""
-        self._tracks_by_agent.pop(record.agent_id, None)
+        """Drop the state of a disconnected agent's backends."""
+        self._states_by_agent.pop(record.agent_id, None)
 
     def choose(
         self,
         candidates: Sequence[BackendView],
-        now: float,
+        now_ms: float,
     ) -> BackendChoice | None:
-        """Pick the backend with the least expected time to answer."""
-        tracked = [
-            (view, self.track(view)) for view in candidates if view.is_routable
+        """Pick the backend with the shortest expected time to answer.
+
+        Args:
+            candidates: Backends of one service.
+            now_ms: Clock time in milliseconds.
+
+        Returns:
+            The choice, None if no candidate is routable.
+        """
+        backend_states = [
+            (view, self.backend_state(view))
+            for view in candidates
+            if view.is_routable
         ]
-        if not tracked:
+        if not backend_states:
             return None
-        service = self._service(tracked[0][0].report.service_name)
-        if now - service.judged_at >= _JUDGE_MS:
-            service.judged_at = now
-            self._ejector.judge(tracked, service.window, now)
-            service.typical_ms = _typical_ms(tracked)
-            service.all_per_own = _all_per_own(tracked)
-            service.utilization = _utilization(tracked)
-        usable = self._ejector.usable(tracked, now)
+        service = self._service(backend_states[0][0].report.service_name)
+        if now_ms - service.evaluated_at >= _EVALUATION_INTERVAL_MS:
+            service.evaluated_at = now_ms
+            self._ejector.evaluate(backend_states, service.window, now_ms)
+            service.typical_ms = _typical_ms(backend_states)
+            service.calls_per_own = _calls_per_own(backend_states)
+            service.utilization = _utilization(backend_states)
+        usable = self._ejector.usable(backend_states, now_ms)
         estimates = [
-            self._estimate(view, track, service, now) for view, track in usable
+            self._estimate(view, state, service, now_ms)
+            for view, state in usable
         ]
-        return min(estimates, key=self._weighed).choice()
+        return min(estimates, key=self._jittered_ms).choice()
 
-    def on_sent(self, view: BackendView, request_id: str, now: float) -> None:
-        """Note that a call went out; an ejected backend's is its probe."""
-        track = self.track(view)
-        track.sent(request_id, now)
-        if track.ejection is None or track.ejection.probe_id:
+    def on_sent(
+        self, view: BackendView, request_id: str, now_ms: float
+    ) -> None:
+        """Record a sent call; on an ejected backend it is the probe."""
+        state = self.backend_state(view)
+        state.record_sent(request_id, now_ms)
+        if state.ejection is None or state.ejection.probe_id:
             return
-        track.ejection.probe_id = request_id
+        state.ejection.probe_id = request_id
         log_event(
             Event.BACKEND_PROBED,
             backend=view.report.backend_id,
             agent=view.agent.agent_id,
             request=request_id,
-            why=track.ejection.why,
+            why=state.ejection.reason,
         )
 
     def on_response(
         self,
         record: AgentRecord,
         response: CallResponse,
-        now: float,
+        now_ms: float,
     ) -> None:
-        """Learn from a response, also from one that nobody waits for.
+        """Record a response, even if no caller waits for it any more.
 
-        Answers that lost to a hedge count too: without them a slow backend
-        would look fast, as only its quick answers win.
+        Answers that were slower than their hedge count as well: otherwise
+        only the fast answers of a slow backend would be measured.
         """
         for view in record.backend_by_id.values():
-            track = self.track(view)
-            sent_at = track.sent_at_by_id.pop(response.request_id, None)
+            state = self.backend_state(view)
+            sent_at = state.sent_at_by_id.pop(response.request_id, None)
             if sent_at is not None:
-                self._learn(view, track, response, sent_at, now)
+                self._record_response(view, state, response, sent_at, now_ms)
 
-    def _learn(
+    def _record_response(
         self,
         view: BackendView,
-        track: BackendState,
+        state: BackendState,
         response: CallResponse,
         sent_at: float,
-        now: float,
+        now_ms: float,
     ) -> None:
         outcome = CallOutcome.from_wire(response.outcome)
-        total = response.in_flight + response.queued
-        if total or outcome is CallOutcome.ANSWERED:
-            track.report(total, now)
-        track.hear(now)
+        call_count = response.in_flight + response.queued
+        if call_count or outcome is CallOutcome.ANSWERED:
+            state.update_load(call_count, now_ms)
+        state.record_response(now_ms)
         if outcome is CallOutcome.ANSWERED:
             window = self.latency_window(view.report.service_name)
-            track.failures = 0
-            track.learn(now - sent_at, self._settings.latency_weight)
-            window.add(now - sent_at)
-            self._ejector.answered(
-                view, track, response.request_id, now - sent_at, window
+            state.failures = 0
+            state.record_latency(
+                now_ms - sent_at, self._settings.latency_weight
+            )
+            window.add(now_ms - sent_at)
+            self._ejector.on_answer(
+                view, state, response.request_id, now_ms - sent_at, window
             )
-        elif response.error in _BACKEND_FAULTS:
-            track.failures += 1
-            self._ejector.failed(track, now)
+        elif response.error in _BACKEND_ERRORS:
+            state.failures += 1
+            self._ejector.on_failure(state, now_ms)
 
-    def _service(self, service_name: str) -> '_Service':
+    def _service(self, service_name: str) -> '_ServiceState':
         service = self._service_by_name.get(service_name)
         if service is None:
-            service = _Service()
+            service = _ServiceState()
             self._service_by_name[service_name] = service
         return service
 
-    def _weighed(self, estimate: '_Estimate') -> float:
-        # Entries with the same knowledge must not all take the same one.
+    def _jittered_ms(self, estimate: '_Estimate') -> float:
+        # Without jitter, entries with the same reports choose the same one.
         return estimate.total_ms * (1 + _JITTER * self._rng.random())
 
     def _estimate(
         self,
         view: BackendView,
-        track: BackendState,
-        service: '_Service',
-        now: float,
+        state: BackendState,
+        service: '_ServiceState',
+        now_ms: float,
     ) -> '_Estimate':
         settings = self._settings
-        service_ms = self._service_ms(track, service.typical_ms, now)
+        service_ms = self._service_ms(state, service.typical_ms, now_ms)
         slots = max(view.report.slots, 1)
-        usable = slots * track.ramp(now, settings.slow_start_ms)
-        expected = track.in_flight * service.all_per_own
-        load = track.load(now, expected, settings) + 1
+        usable = slots * state.slow_start_fraction(
+            now_ms, settings.slow_start_ms
+        )
+        prior_load = state.in_flight * service.calls_per_own
+        load = state.estimated_load(now_ms, prior_load, settings) + 1
         wait_ms = service_ms * max(load - usable, 0) / slots
-        crowding = _CROWDING * min(load / usable, 1) ** _CROWDING_POWER
-        total = service_ms * (1 + crowding) + wait_ms
+        crowding = _CROWDING_FACTOR * min(load / usable, 1) ** _CROWDING_POWER
+        total_ms = service_ms * (1 + crowding) + wait_ms
         if view.agent.zone != self._zone:
-            total += settings.zone_cost_ms
-        return _Estimate(view, load, service_ms, wait_ms, total)
+            total_ms += settings.zone_cost_ms
+        return _Estimate(view, load, service_ms, wait_ms, total_ms)
 
     def _service_ms(
         self,
-        track: BackendState,
+        state: BackendState,
         typical_ms: float,
-        now: float,
+        now_ms: float,
     ) -> float:
-        if track.samples < _MIN_SAMPLES:
+        if state.samples < _MIN_SAMPLES:
             return typical_ms
-        # Smaller differences are chance; following them piles calls up on
-        # whoever answered a few quick ones.
-        mean = track.suspected(now, self._settings.latency_weight)
-        seen_ms = math.exp(mean)
-        return seen_ms if seen_ms > typical_ms * _SLOWER else typical_ms
+        # Smaller differences are noise: following them would send most calls
+        # to a backend after a few fast answers.
+        log_latency = state.suspected_log_latency(
+            now_ms, self._settings.latency_weight
+        )
+        measured_ms = math.exp(log_latency)
+        return (
+            measured_ms
+            if measured_ms > typical_ms * _MIN_SLOW_RATIO
+            else typical_ms
+        )
 
 
 @dataclass(slots=True)
-class _Service:
+class _ServiceState:
     window: LatencyWindow = field(default_factory=LatencyWindow)
-    typical_ms: float = _DEFAULT_MS
-    all_per_own: float = 1
+    typical_ms: float = _DEFAULT_LATENCY_MS
+    calls_per_own: float = 1
     utilization: float = 0
-    judged_at: float = -math.inf
+    evaluated_at: float = -math.inf
 
 
 @dataclass(slots=True)
@@ -252,23 +287,29 @@
         return BackendChoice(self.view, why, self.wait_ms, self.total_ms)
 
 
-def _typical_ms(tracked: Tracked) -> float:
-    known = [
-        track.log_latency
-        for _, track in tracked
-        if track.samples >= _MIN_SAMPLES and track.ejection is None
+def _typical_ms(backend_states: BackendStates) -> float:
+    log_latencies = [
+        state.log_latency
+        for _, state in backend_states
+        if state.samples >= _MIN_SAMPLES and state.ejection is None
     ]
-    return math.exp(statistics.median(known)) if known else _DEFAULT_MS
+    return (
+        math.exp(statistics.median(log_latencies))
+        if log_latencies
+        else _DEFAULT_LATENCY_MS
+    )
 
 
-def _all_per_own(tracked: Tracked) -> float:
-    """Return how many calls there are for each of this entry's own."""
-    own = sum(track.in_flight for _, track in tracked)
-    everyone = sum(track.reported for _, track in tracked)
-    return max(everyone / own, 1) if own else 1
+def _calls_per_own(backend_states: BackendStates) -> float:
+    """Return the number of reported calls per call of this entry."""
+    own_calls = sum(state.in_flight for _, state in backend_states)
+    reported_calls = sum(state.reported for _, state in backend_states)
+    return max(reported_calls / own_calls, 1) if own_calls else 1
 
 
-def _utilization(tracked: Tracked) -> float:
-    loads = [max(track.reported, track.in_flight) for _, track in tracked]
-    slots = sum(view.report.slots for view, _ in tracked)
+def _utilization(backend_states: BackendStates) -> float:
+    loads = [
+        max(state.reported, state.in_flight) for _, state in backend_states
+    ]
+    slots = sum(view.report.slots for view, _ in backend_states)
     return sum(loads) / max(slots, 1)
--- a/tests/test_routing_bench.py
+++ b/tests/test_routing_bench.py
@@ -1,4 +1,4 @@
-"""The routing experiments run, with a baseline in the product's place."""
+"""Tests that the routing experiments run with and without a baseline."""
 
 import pytest
 
