--- a/hyssopring/placement/interference.py
+++ b/hyssopring/placement/interference.py
@@ -43,6 +43,8 @@
 
 @dataclass(slots=True)
 class _PendingStart:
+    """A start that reports may not show before ``until_ms``."""
+
     template: str
     core_fraction: float
     until_ms: float
--- a/hyssopring/placement/pending_starts.py
+++ b/hyssopring/placement/pending_starts.py
@@ -19,6 +19,13 @@
 
 @dataclass(slots=True)
 class _PendingStart:
+    """A start that is not included in reported free resources.
+
+    Attributes:
+        confirmed_at: Clock time in milliseconds at which the attempt was first
+            found confirmed, None before that.
+    """
+
     planned: PlannedTask
     attempt: int
     agent_id: str
--- a/hyssopring/placement/tail_guard.py
+++ b/hyssopring/placement/tail_guard.py
@@ -20,6 +20,7 @@
 
 __all__ = ('GuardStep', 'TailGuard')
 
+# Excess of log(tail) over its baseline.
 _RAISED_EXCESS = 0.5
 _STABLE_EXCESS = 0.25
 _SETTLE_MS = 6000.0
--- a/hyssopring/routing/admission.py
+++ b/hyssopring/routing/admission.py
@@ -19,6 +19,8 @@
 
 @dataclass(slots=True)
 class _Bucket:
+    """Token bucket of one team."""
+
     tokens: float
     filled_at: float
 
--- a/hyssopring/routing/selector.py
+++ b/hyssopring/routing/selector.py
@@ -263,6 +263,16 @@
 
 @dataclass(slots=True)
 class _ServiceState:
+    """Figures of one service, updated at each evaluation.
+
+    Attributes:
+        window: Recent latencies.
+        typical_ms: Median latency of its healthy backends.
+        calls_per_own: Reported calls per call of this entry.
+        utilization: Fraction of its slots that is in use.
+        evaluated_at: Clock time in milliseconds of the last evaluation.
+    """
+
     window: LatencyWindow = field(default_factory=LatencyWindow)
     typical_ms: float = _DEFAULT_LATENCY_MS
     calls_per_own: float = 1
@@ -272,6 +282,8 @@
 
 @dataclass(slots=True)
 class _Estimate:
+    """Expected times of a call on one backend."""
+
     view: BackendView
     load: float
     service_ms: float
--- a/tests/test_drain_withdraw.py
+++ b/tests/test_drain_withdraw.py
@@ -67,8 +67,8 @@
     ends = [
         task
         for agent in deployment.agent_by_name.values()
-        for _, what, task in agent.worker.worker.history
-        if what == 'complete'
+        for _, event, task in agent.worker.worker.history
+        if event == 'complete'
     ]
     assert sorted(ends) == [f'morning:{number}' for number in range(6)]
 
@@ -155,7 +155,7 @@
     ends = [
         task
         for agent in deployment.agent_by_name.values()
-        for _, what, task in agent.worker.worker.history
-        if what == 'complete'
+        for _, event, task in agent.worker.worker.history
+        if event == 'complete'
     ]
     assert sorted(ends) == [f'morning:{number}' for number in range(6)]
--- a/tests/test_interference.py
+++ b/tests/test_interference.py
@@ -177,6 +177,6 @@
         if step is not None:
             changes.append(second)
             share = step.share
-    early = sum(second < 300 for second in changes)
-    late = sum(second >= 900 for second in changes)
-    assert early > 3 * late
+    early_changes = sum(second < 300 for second in changes)
+    late_changes = sum(second >= 900 for second in changes)
+    assert early_changes > 3 * late_changes
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -145,8 +145,8 @@
 
 def test_tail_window_expires_and_reports_nothing_on_few_calls():
     window = TailWindow()
-    for took in range(100):
-        window.add(0, took)
+    for latency_ms in range(100):
+        window.add(0, latency_ms)
     assert window.latency_ms(1000) == 95
     assert window.latency_ms(5000) == 95
     assert window.latency_ms(9000) == 0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -201,10 +201,10 @@
 
 def job_starts(deployment, job):
     return [
-        (when, name)
+        (time_ms, name)
         for name, agent in deployment.agent_by_name.items()
-        for when, what, task_id in agent.worker.worker.history
-        if what == 'start' and task_id.startswith(job)
+        for time_ms, event, task_id in agent.worker.worker.history
+        if event == 'start' and task_id.startswith(job)
     ]
 
 
@@ -233,14 +233,14 @@
     deployment.run(3000)
     starts = job_starts(deployment, 'call')
     assert len(starts) == 2
-    assert max(when for when, _ in starts) - submitted_at < 2000
+    assert max(time_ms for time_ms, _ in starts) - submitted_at < 2000
     deployment.run(60_000)
     ends = Counter(
-        (what, task_id)
+        (event, task_id)
         for agent in deployment.agent_by_name.values()
-        for _, what, task_id in agent.worker.worker.history
+        for _, event, task_id in agent.worker.worker.history
     )
-    completed = [task_id for what, task_id in ends if what == 'complete']
+    completed = [task_id for event, task_id in ends if event == 'complete']
     assert len(completed) == 14
     assert all(ends['complete', task_id] == 1 for task_id in completed)
-    assert sum(n for (what, _), n in ends.items() if what == 'stop') == 2
+    assert sum(n for (event, _), n in ends.items() if event == 'stop') == 2
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -34,12 +34,12 @@
     """Run the deployment; fail if a task runs on two workers at any step."""
     for _ in range(int(millis / step)):
         deployment.run(step)
-        twice = [
+        duplicated = [
             task
             for task, places in deployment.places_by_task().items()
             if places > 1
         ]
-        assert not twice, f'in two places: {twice}'
+        assert not duplicated, f'running on two workers: {duplicated}'
 
 
 def submit(deployment, tasks, job='morning', entry=0):
@@ -58,13 +58,13 @@
     return dict(answers[0].unwrap()['tasks'])
 
 
-def history(deployment, what):
+def history(deployment, event):
     workers = {id(node.worker): node.worker for node in deployment.workers}
     return sorted(
         task
         for worker in workers.values()
-        for _, noted, task in worker.history
-        if noted == what
+        for _, recorded_event, task in worker.history
+        if recorded_event == event
     )
 
 
@@ -102,12 +102,12 @@
 def test_paused_agent_and_worker_find_their_leases_expired():
     """A whole VM is paused past its leases and resumes with its old state."""
     deployment = started_deployment(keepers=6)
-    frozen = deployment.agent(0)
-    assert frozen.worker.worker.running()
-    frozen.is_paused = frozen.worker.is_paused = True
+    paused_agent = deployment.agent(0)
+    assert paused_agent.worker.worker.running()
+    paused_agent.is_paused = paused_agent.worker.is_paused = True
     run_checked(deployment, 20_000)
     assert sum(deployment.places_by_task().values()) == 6
-    frozen.worker.is_paused = frozen.is_paused = False
+    paused_agent.worker.is_paused = paused_agent.is_paused = False
     run_checked(deployment, 10_000)
     assert sum(deployment.places_by_task().values()) == 6
 
@@ -120,7 +120,7 @@
     """
     deployment = started_deployment(keepers=6)
     old = deployment.agent(0)
-    on_old = len(old.worker.worker.running())
+    old_task_count = len(old.worker.worker.running())
     for entry in deployment.entry_by_name.values():
         link = old.link_by_entry[entry.name]
         link.is_silent = True
@@ -130,7 +130,7 @@
         deployment, 0, identity.zone, identity.rack, identity.capacity, 7
     )
     run_checked(deployment, 5000)
-    assert on_old and len(old.worker.worker.running()) == on_old
+    assert old_task_count and len(old.worker.worker.running()) == old_task_count
     run_checked(deployment, 25_000)
     assert sum(deployment.places_by_task().values()) == 6
 
@@ -348,14 +348,14 @@
             agent.add_backend,
             VirtualBackend(deployment.loop, f'b-{number}', 'trust/booking'),
         )
-    over = 0
+    overcommitted = 0
     for _ in range(1500):
         deployment.run(20)
         used = len(agent.worker.worker.running()) + len(agent.backend_by_name)
-        over = max(over, used - 16)
+        overcommitted = max(overcommitted, used - 16)
         if agent.core.ledger.is_over:
             assert agent.core.ledger.free.cores < 0
-    assert over <= 3, 'only what announced itself on a full VM'
+    assert overcommitted <= 3, 'only backends announced on a full VM'
     assert not agent.core.ledger.is_over
     done = [counts(deployment, f'job-{number}') for number in range(12)]
     assert done == [{'completed': 4}] * 12
