--- a/bench/colocation_variants.py
+++ b/bench/colocation_variants.py
@@ -67,13 +67,13 @@
     """Move nothing."""
 
 
-_NO_PACE: Final = _set(pacing.Pacer, '_decide', _keep_paces)
+_NO_PACE: Final = _set(pacing.Pacer, '_update_paces', _keep_paces)
 
 VARIANTS_BY_NAME: Final[dict[str, tuple[Change, ...]]] = {
     AS_IT_IS: (),
     'no control': (
         _NO_PACE,
-        _set(placement_option.PlacementOption, 'allows', _anywhere),
+        _set(placement_option.PlacementOption, 'has_capacity', _anywhere),
     ),
     'no pace': (_NO_PACE,),
     'no headroom kept at placement': (
@@ -85,7 +85,7 @@
     ),
     'nothing learned': (_set(InterferenceModel, 'per_core', _unlearned),),
     'no strained rule': (
-        _set(placement_option, '_is_strained', _never_strained),
+        _set(placement_option, '_is_interference_high', _never_strained),
     ),
     'no starved rule': (_set(planning, '_STARVED_MS', _NEVER_MS),),
     'no relief': (_set(moves.TaskMoves, 'relieve', _no_relief),),
@@ -93,8 +93,8 @@
     'by deadline': (_set(planning, 'urgency', _by_deadline),),
     'by work left alone': (_set(planning, 'urgency', _by_work),),
     'keepers anywhere': (
-        _set(placement_option, '_TARGETS_TOGETHER', 0),
-        _set(placement_option, '_TARGET_BESIDE_FILLER', 0),
+        _set(placement_option, '_LATENCY_CRITICAL_PACKING_BONUS', 0),
+        _set(placement_option, '_BEST_EFFORT_NEIGHBOR_PENALTY', 0),
     ),
     'fillers counted by what they ask for': (
         _set(PlacedAttempt, 'cpu_in_use', property(_asked)),
@@ -105,10 +105,10 @@
         ),
     ),
     'keepers use three quarters': (
-        _set(placement_option, '_KEEPER_UNUSED', 0.25),
+        _set(placement_option, '_UNUSED_RESERVATION_SHARE', 0.25),
     ),
     'paces cut late': (
-        _set(pacing, '_LOW', 1.05),
-        _set(pacing, '_AIM', 1.3),
+        _set(pacing, '_THROTTLING_HEADROOM', 1.05),
+        _set(pacing, '_TARGET_HEADROOM', 1.3),
     ),
 }
--- a/hyssopring/jobs/advice_client.py
+++ b/hyssopring/jobs/advice_client.py
@@ -1,4 +1,4 @@
-"""What an owner asks of the service that knows who may run a step."""
+"""The interface to the service that approves workers for a step."""
 
 from dataclasses import dataclass, field
 from typing import Any, Mapping, Protocol
@@ -6,26 +6,29 @@
 from twisted.internet.defer import fail
 
 __all__ = (
+    'AdviceAnswer',
     'AdviceClient',
+    'AdviceQuery',
     'AdviceUnavailable',
-    'AdviceAnswer',
     'UnconfiguredAdviceClient',
-    'AdviceQuery',
 )
 
 
 class AdviceUnavailable(Exception):
-    """No usable answer came; the text says why. Asking again is harmless."""
+    """The service gave no usable answer; queries may safely be repeated.
+
+    The text names the cause.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceQuery:
-    """Which of these lives of workers may run a step.
+    """A query for the workers that may run a step.
 
     Attributes:
         step: The step's name, the same for all its tasks.
-        boots: Lives of workers.
-        expected_ms: How long the answer takes while nobody else asks.
+        boots: Incarnations of the workers to choose from.
+        expected_ms: How long the answer takes if no other query is in flight.
     """
 
     step: str
@@ -35,10 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceAnswer:
-    """An answer: a ticket for each life of a worker that may run the step.
+    """A ticket for each incarnation of a worker that may run the step.
 
     Attributes:
-        valid_ms: How long the tickets are good; 0 if the answer says nothing.
+        valid_ms: How long the tickets are valid; 0 if the answer does not
+            contain it.
     """
 
     ticket_by_boot: Mapping[str, str] = field(default_factory=dict)
@@ -46,15 +50,20 @@
 
 
 class AdviceClient(Protocol):
-    """Asks the service; an implementation gives up by itself in time."""
+    """Query the service; implementations have a timeout."""
 
-    def ask(self, question: AdviceQuery) -> Any:
+    def ask(self, query: AdviceQuery) -> Any:
         """Return a deferred ``AdviceAnswer``; fails with AdviceUnavailable."""
 
 
 class UnconfiguredAdviceClient:
-    """Stands where the settings name no service: steps that need it wait."""
+    """Fail all queries, because the settings name no service.
+
+    Steps that need a ticket wait.
+    """
 
-    def ask(self, question: AdviceQuery) -> Any:
+    def ask(self, query: AdviceQuery) -> Any:
         """See ``AdviceClient``."""
-        return fail(AdviceUnavailable('the settings name no service'))
+        return fail(
+            AdviceUnavailable('no advice service is configured in the settings')
+        )
--- a/hyssopring/jobs/crash_history.py
+++ b/hyssopring/jobs/crash_history.py
@@ -1,8 +1,8 @@
-"""Crashes of workers under starting tasks, as a job's row keeps them.
+"""Crashes of workers under starting tasks, stored in a job's progress row.
 
-They stand in the row's table of failed attempts, under names of their own:
-``crash/OCCURRENCE.STEP.INDEX/CAUSE/AGENT``. The release before keeps entries
-of that table that it does not know, and would drop a field of its own.
+They are entries of the row's table of failed attempts, with keys of the form
+``crash/OCCURRENCE.STEP.INDEX/CAUSE/AGENT``. The previous release keeps unknown
+entries of that table, but would drop an unknown field of the row.
 """
 
 import enum
@@ -14,15 +14,15 @@
 
 _PREFIX: Final = 'crash/'
 _SEPARATOR: Final = '/'
-_PARTS: Final = 3
+_PART_COUNT: Final = 3
 
 
 class CrashCause(enum.Enum):
-    """What is known of a crash's cause.
+    """What is known about the cause of a crash.
 
-    ISOLATED: The task was started in a trial, beside no other suspect.
-    SHARED: It is one of those that were starting.
-    COMMON: Other workers died at the same time.
+    ISOLATED: The task was started in a trial, with no other suspect.
+    SHARED: The task is one of those that were starting.
+    COMMON: Other workers crashed at the same time.
     """
 
     ISOLATED = 'isolated'
@@ -30,14 +30,14 @@
     COMMON = 'common'
 
 
-_CAUSE_BY_WORD: Final = MappingProxyType(
+_CAUSE_BY_NAME: Final = MappingProxyType(
     {cause.value: cause for cause in CrashCause},
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """One crash of a worker that had just started an attempt."""
+    """A crash of a worker that had just started an attempt."""
 
     agent_id: str
     attempt: int
@@ -45,52 +45,59 @@
 
 
 class CrashHistory:
-    """The crashes of one job by the task, or gang, that was starting."""
+    """The crashes of one job, by the budget key of the task or gang."""
 
     def __init__(self, failed: dict[str, list[int]]) -> None:
-        """Read ``failed``, and keep every change in it."""
+        """Read the crashes from ``failed`` and write all changes back to it.
+
+        Args:
+            failed: Attempt numbers by key, as in a progress row.
+        """
         self._failed = failed
-        self._by_suspect: dict[str, list[Crash]] = {}
-        for entry, attempts in failed.items():
-            if entry.startswith(_PREFIX):
-                self._read(entry, attempts)
+        self._crashes_by_suspect: dict[str, list[Crash]] = {}
+        for entry_key, attempts in failed.items():
+            if entry_key.startswith(_PREFIX):
+                self._read(entry_key, attempts)
 
     @property
     def is_empty(self) -> bool:
-        """Whether no worker has crashed under a task of the job."""
-        return not self._by_suspect
+        """Return whether no worker has crashed under a task of the job."""
+        return not self._crashes_by_suspect
 
-    def of(self, suspect: str) -> tuple[Crash, ...]:
+    def crashes_of(self, suspect: str) -> tuple[Crash, ...]:
         """Return the crashes under a suspect, in no particular order."""
-        return tuple(self._by_suspect.get(suspect, ()))
+        return tuple(self._crashes_by_suspect.get(suspect, ()))
 
     def add(self, suspect: str, crash: Crash) -> bool:
-        """Count a crash; False if this attempt's is known already."""
-        known = self._by_suspect.setdefault(suspect, [])
-        if any(each.attempt == crash.attempt for each in known):
+        """Add a crash; return False if the attempt's crash is known."""
+        known_crashes = self._crashes_by_suspect.setdefault(suspect, [])
+        if any(known.attempt == crash.attempt for known in known_crashes):
             return False
-        known.append(crash)
-        entry = _entry(suspect, crash)
-        self._failed.setdefault(entry, []).append(crash.attempt)
+        known_crashes.append(crash)
+        entry_key = _entry_key(suspect, crash)
+        self._failed.setdefault(entry_key, []).append(crash.attempt)
         return True
 
     def clear(self, suspect: str) -> None:
-        """Forget a suspect that was started without a crash."""
-        for crash in self._by_suspect.pop(suspect, ()):
-            self._failed.pop(_entry(suspect, crash), None)
-
-    def _read(self, entry: str, attempts: list[int]) -> None:
-        parts = entry.removeprefix(_PREFIX).split(_SEPARATOR, _PARTS - 1)
-        if len(parts) < _PARTS:
+        """Remove the crashes of a suspect that has started without one."""
+        for crash in self._crashes_by_suspect.pop(suspect, ()):
+            self._failed.pop(_entry_key(suspect, crash), None)
+
+    def _read(self, entry_key: str, attempts: list[int]) -> None:
+        """Read an entry; skip one in a format of a later release."""
+        parts = entry_key.removeprefix(_PREFIX).split(
+            _SEPARATOR, _PART_COUNT - 1
+        )
+        if len(parts) < _PART_COUNT:
             return
-        suspect, word, agent_id = parts
-        cause = _CAUSE_BY_WORD.get(word)
+        suspect, cause_name, agent_id = parts
+        cause = _CAUSE_BY_NAME.get(cause_name)
         if cause is None:
             return
-        crashes = self._by_suspect.setdefault(suspect, [])
+        crashes = self._crashes_by_suspect.setdefault(suspect, [])
         crashes.extend(Crash(agent_id, attempt, cause) for attempt in attempts)
 
 
-def _entry(suspect: str, crash: Crash) -> str:
+def _entry_key(suspect: str, crash: Crash) -> str:
     parts = (suspect, crash.cause.value, crash.agent_id)
     return _PREFIX + _SEPARATOR.join(parts)
--- a/hyssopring/jobs/crash_suspects.py
+++ b/hyssopring/jobs/crash_suspects.py
@@ -1,9 +1,9 @@
-"""Finds the tasks that crash the workers that start them.
+"""Detection of tasks whose start crashes the worker.
 
-A worker that crashes takes all along that ran on it. Each attempt that was
-started shortly before is a suspect, and is started again on a worker that gets
-no other start meanwhile. A task under which workers crash there as well is
-given up with its job; one that outlives its start is no suspect any more.
+A crash ends all tasks on the worker. Each attempt that had started shortly
+before is a suspect, and is started again in a trial: on a worker that gets no
+other start meanwhile. If workers crash under a task in trials as well, its job
+fails. An attempt that outlasts its start clears the task.
 """
 
 from collections import Counter
@@ -11,9 +11,9 @@
 from typing import Collection, Final, Iterable
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.crash_history import Crash, CrashCause
 from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.messages import EndReport
 from hyssopring.jobs.model import AttemptEnd, TaskName
 from hyssopring.jobs.owned_shards import OwnedShards
@@ -24,48 +24,50 @@
 
 # An attempt that has run for this long has not crashed its worker by starting.
 TRIAL_MS: Final = MILLIS_PER_SECOND
-# Isolated crashes on so many workers show that the task is the cause.
-_ENOUGH_WORKERS: Final = 2
-# Where workers often die of other causes, it takes so many crashes in all.
-_ENOUGH_CRASHES: Final = 4
-# So many isolated crashes show it too, where there is no other worker to try.
-_ENOUGH_ISOLATED: Final = 4
-# An innocent task is hardly ever starting at so many crashes in a row, of which
-# one was isolated.
-_MOST_CRASHES: Final = 5
-# One in so many workers is on trial at most.
+# Isolated crashes on this many workers prove that the task is the cause.
+_PROVING_WORKERS: Final = 2
+# If workers often crash for other reasons, the proof also takes this many
+# crashes in total.
+_PROVING_CRASHES: Final = 4
+# This many isolated crashes are a proof as well, as there may be no second
+# worker to try.
+_PROVING_ISOLATED: Final = 4
+# This many crashes, one of them isolated, are a proof as well: a task that is
+# not the cause is hardly ever starting at so many crashes in a row.
+_MAX_CRASHES: Final = 5
+# At most one in this many workers runs a trial at a time.
 _WORKERS_PER_TRIAL: Final = 4
-# A suspect waits so long for a trial for each of its crashes, a lasting one so
-# long in all; then it starts like any other task.
+# How long a suspect waits for a trial, per crash; a keeper's task waits this
+# long in total. Then it starts like any other task.
 _WAIT_MS: Final = 2 * MILLIS_PER_SECOND
-# A worker on trial that has been silent for this long has crashed.
+# A worker in a trial that has been silent for this long counts as crashed.
 _SILENT_MS: Final = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Trial:
-    """One attempt of a suspect, and the agent that has no other start."""
+    """An attempt of a suspect on a worker that gets no other start."""
 
     record: JobRecord
-    name: TaskName
+    task_name: TaskName
     attempt: int
     agent_id: str
 
     @property
-    def suspect(self) -> tuple[str, str]:
-        """The job and its task or gang."""
-        return self.record.job.job_id, self.record.budget_key(self.name)
+    def suspect_key(self) -> tuple[str, str]:
+        """Return the job's ID and the budget key of the task or gang."""
+        return self.record.job.job_id, self.record.budget_key(self.task_name)
 
 
 class CrashSuspects:
-    """Keeps the trials under way, and judges crashes.
+    """Track trials and decide which tasks crash their workers.
 
     Attributes:
-        worker_crashes: Those of all workers, to tell a common cause.
+        worker_crashes: The crashes of all workers, to detect common causes.
     """
 
     def __init__(self, clock: Clock, fleet: Fleet) -> None:
-        """Begin without a trial."""
+        """Start without trials."""
         self._clock = clock
         self._fleet = fleet
         self._trial_by_agent: dict[str, _Trial] = {}
@@ -73,111 +75,117 @@
 
     @property
     def agents(self) -> Collection[str]:
-        """The agents whose workers are to get no other start now."""
+        """Return the IDs of the agents whose workers run a trial."""
         return self._trial_by_agent.keys()
 
-    def spared(self, shards: OwnedShards) -> list[Worker]:
-        """Return the workers that any task may be started on now."""
+    def available_workers(self, shards: OwnedShards) -> list[Worker]:
+        """Return the workers on which any task may start now."""
         return [
             worker
             for worker in shards.startable_on(self._fleet.schedulable_workers())
             if worker.agent_id not in self._trial_by_agent
         ]
 
-    def needs_trial(self, record: JobRecord, name: TaskName) -> bool:
-        """Whether a task is a suspect that can wait for a trial."""
+    def needs_trial(self, record: JobRecord, task_name: TaskName) -> bool:
+        """Return whether a task is a suspect that may wait for a trial."""
         if record.crashes.is_empty:
             return False
-        suspect = record.budget_key(name)
-        crashes = record.crashes.of(suspect)
+        suspect = record.budget_key(task_name)
+        crashes = record.crashes.crashes_of(suspect)
         if not _is_suspicious(crashes):
             return False
-        now = self._clock.now()
-        since = record.trial_wanted_since.setdefault(suspect, now)
-        is_lasting = record.job.steps[name.step].is_keeper
-        return now - since < _WAIT_MS * (1 if is_lasting else len(crashes))
+        now_ms = self._clock.now()
+        since_ms = record.trial_wanted_since.setdefault(suspect, now_ms)
+        is_keeper = record.job.steps[task_name.step].is_keeper
+        return now_ms - since_ms < _WAIT_MS * (1 if is_keeper else len(crashes))
 
-    def sorted_out(
+    def partition(
         self,
         record: JobRecord,
-        names: Iterable[TaskName],
+        task_names: Iterable[TaskName],
     ) -> tuple[list[TaskName], list[TaskName]]:
-        """Return the tasks that need no trial, and those that do."""
-        innocent: list[TaskName] = []
+        """Return the tasks that need no trial, and those that need one."""
+        unsuspected: list[TaskName] = []
         suspects: list[TaskName] = []
-        for name in names:
-            needs_trial = self.needs_trial(record, name)
-            (suspects if needs_trial else innocent).append(name)
-        return innocent, suspects
-
-    def isolated_agents(self, record: JobRecord, name: TaskName) -> set[str]:
-        """Return the agents of a suspect's isolated crashes."""
-        crashes = record.crashes.of(record.budget_key(name))
-        return {each.agent_id for each in crashes if _is_isolated(each)}
-
-    def may_begin(self, record: JobRecord, name: TaskName) -> bool:
-        """Whether there is a worker to spare for a suspect's trial.
-
-        One of several crashes does not wait behind those of one.
+        for task_name in task_names:
+            needs_trial = self.needs_trial(record, task_name)
+            (suspects if needs_trial else unsuspected).append(task_name)
+        return unsuspected, suspects
+
+    def agents_with_isolated_crashes(
+        self, record: JobRecord, task_name: TaskName
+    ) -> set[str]:
+        """Return the IDs of the agents of a suspect's isolated crashes."""
+        crashes = record.crashes.crashes_of(record.budget_key(task_name))
+        return {crash.agent_id for crash in crashes if _is_isolated(crash)}
+
+    def can_begin_trial(self, record: JobRecord, task_name: TaskName) -> bool:
+        """Return whether the limit of simultaneous trials allows one more.
+
+        A suspect of several crashes may exceed the limit by one, so that it
+        does not wait behind suspects of a single crash.
         """
-        crashes = record.crashes.of(record.budget_key(name))
-        under_way = sum(
+        crashes = record.crashes.crashes_of(record.budget_key(task_name))
+        trial_count = sum(
             self._is_answering(agent_id) for agent_id in self._trial_by_agent
         )
-        takers = len(self._fleet.schedulable_workers())
-        most = max(1, takers // _WORKERS_PER_TRIAL)
-        return under_way < most + (len(crashes) > 1)
+        worker_count = len(self._fleet.schedulable_workers())
+        limit = max(1, worker_count // _WORKERS_PER_TRIAL)
+        return trial_count < limit + (len(crashes) > 1)
 
-    def begin(
+    def begin_trial(
         self,
         record: JobRecord,
-        name: TaskName,
+        task_name: TaskName,
         attempt: int,
         agent_id: str,
     ) -> None:
-        """An attempt was ordered as a trial."""
-        record.trial_wanted_since.pop(record.budget_key(name), None)
-        trial = _Trial(record, name, attempt, agent_id)
+        """Record that an attempt was started as a trial."""
+        record.trial_wanted_since.pop(record.budget_key(task_name), None)
+        trial = _Trial(record, task_name, attempt, agent_id)
         self._trial_by_agent[agent_id] = trial
 
-    def record_survival(self, record: JobRecord, name: TaskName) -> None:
-        """Clear a task an attempt of which has outlived its start.
+    def record_survival(self, record: JobRecord, task_name: TaskName) -> None:
+        """Clear a task whose attempt has outlasted its start.
 
-        Crashes that an innocent task was caught in would make it wait for a
-        trial after each of its later ends.
+        Otherwise a task that was merely running during a crash would wait for
+        a trial each time that it starts again.
         """
-        suspect = record.budget_key(name)
-        is_gang = record.job.steps[name.step].is_gang
-        if not is_gang and record.crashes.of(suspect):
+        suspect = record.budget_key(task_name)
+        is_gang = record.job.steps[task_name.step].is_gang
+        if not is_gang and record.crashes.crashes_of(suspect):
             record.crashes.clear(suspect)
             record.trial_wanted_since.pop(suspect, None)
 
     def check(self) -> None:
         """End the trials that are decided; call before each planning round."""
-        for trials in self._by_suspect().values():
-            placed = [self._placed(trial) for trial in trials]
-            if all(each and each.observed_ms >= TRIAL_MS for each in placed):
-                self._passed(trials)
-            elif not all(placed):
+        for trials in self._trials_by_suspect().values():
+            placed_attempts = [self._placed(trial) for trial in trials]
+            if all(
+                placed and placed.observed_ms >= TRIAL_MS
+                for placed in placed_attempts
+            ):
+                self._pass(trials)
+            elif not all(placed_attempts):
                 self._release(trials)
 
     def record_crash(
         self,
         record: JobRecord,
-        name: TaskName,
+        task_name: TaskName,
         end: EndReport,
         worker: Worker,
     ) -> bool:
-        """Count a crash under a starting attempt; True if its job fails."""
-        suspect = record.budget_key(name)
+        """Record a crash under a starting attempt; True if its job fails."""
+        suspect = record.budget_key(task_name)
         crash = Crash(worker.agent_id, end.attempt, self._cause(end, worker))
         if not record.crashes.add(suspect, crash):
             return False
         record.trial_wanted_since.pop(suspect, None)
-        crashes = record.crashes.of(suspect)
+        crashes = record.crashes.crashes_of(suspect)
         log_event(
             Event.TASK_SUSPECTED,
-            task=str(name),
+            task=str(task_name),
             attempt=end.attempt,
             agent=worker.agent_id,
             cause=crash.cause.value,
@@ -187,55 +195,56 @@
             return False
         log_event(
             Event.TASK_GIVEN_UP,
-            task=str(name),
+            task=str(task_name),
             crashes=len(crashes),
-            agents=' '.join(sorted({each.agent_id for each in crashes})),
+            agents=' '.join(sorted({known.agent_id for known in crashes})),
         )
         return True
 
     def _cause(self, end: EndReport, worker: Worker) -> CrashCause:
         is_trial = end.how == AttemptEnd.CRASHED_IN_TRIAL.value
         if is_trial:
-            self.worker_crashes.explain(worker.agent_id)
-        if self.worker_crashes.is_common(worker.agent_id, self.agents):
+            self.worker_crashes.attribute_to_trial(worker.agent_id)
+        if self.worker_crashes.has_common_cause(worker.agent_id, self.agents):
             return CrashCause.COMMON
         if is_trial:
             return CrashCause.ISOLATED
         return CrashCause.SHARED
 
     def _is_proven(self, crashes: tuple[Crash, ...]) -> bool:
-        by_agent = Counter(
+        isolated_by_agent = Counter(
             crash.agent_id for crash in crashes if _is_isolated(crash)
         )
-        if len(by_agent) >= _ENOUGH_WORKERS:
-            is_enough = len(crashes) >= _ENOUGH_CRASHES
-            return is_enough or not self.worker_crashes.are_frequent
-        if len(crashes) >= _MOST_CRASHES and by_agent:
+        if len(isolated_by_agent) >= _PROVING_WORKERS:
+            has_enough = len(crashes) >= _PROVING_CRASHES
+            return has_enough or not self.worker_crashes.are_frequent
+        if len(crashes) >= _MAX_CRASHES and isolated_by_agent:
             return True
-        return by_agent.total() >= _ENOUGH_ISOLATED
+        return isolated_by_agent.total() >= _PROVING_ISOLATED
 
-    def _by_suspect(self) -> dict[tuple[str, str], list[_Trial]]:
-        """Trials under way; the members of a gang are tried together."""
-        by_suspect: dict[tuple[str, str], list[_Trial]] = {}
+    def _trials_by_suspect(self) -> dict[tuple[str, str], list[_Trial]]:
+        """Group the running trials; members of a gang are tried together."""
+        trials_by_suspect: dict[tuple[str, str], list[_Trial]] = {}
         for trial in self._trial_by_agent.values():
-            by_suspect.setdefault(trial.suspect, []).append(trial)
-        return by_suspect
+            trials_by_suspect.setdefault(trial.suspect_key, []).append(trial)
+        return trials_by_suspect
 
     def _placed(self, trial: _Trial) -> PlacedAttempt | None:
+        """Return the trial's attempt, None if it has ended."""
         worker = self._fleet.by_agent.get(trial.agent_id)
         if worker is None:
             return None
-        placed = worker.placed_by_task.get(str(trial.name))
+        placed = worker.placed_by_task.get(str(trial.task_name))
         if placed is None or placed.number != trial.attempt:
             return None
         return placed
 
-    def _passed(self, trials: list[_Trial]) -> None:
+    def _pass(self, trials: list[_Trial]) -> None:
         first = trials[0]
-        first.record.crashes.clear(first.suspect[1])
+        first.record.crashes.clear(first.suspect_key[1])
         log_event(
             Event.SUSPECT_CLEARED,
-            task=str(first.name),
+            task=str(first.task_name),
             attempt=first.attempt,
         )
         self._release(trials)
@@ -255,7 +264,7 @@
 
 
 def _is_suspicious(crashes: tuple[Crash, ...]) -> bool:
-    """Whether crashes call for a trial: one alone that was common does not."""
+    """Return whether crashes call for a trial; a single common one does not."""
     return len(crashes) > 1 or any(
         crash.cause is not CrashCause.COMMON for crash in crashes
     )
--- a/hyssopring/jobs/fleet.py
+++ b/hyssopring/jobs/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as one entry knows them, and what its shards use of them."""
+"""The agents and workers known to one entry."""
 
 from dataclasses import dataclass
 from itertools import count
@@ -6,21 +6,21 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.messages import AgentLeft
-from hyssopring.jobs.times import GRANT_MS, GRANT_EXPIRY_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS, GRANT_MS
 from hyssopring.jobs.workers import PlacedAttempt, Worker
 
 __all__ = ('GRANT_TTL_MS', 'Departed', 'Fleet', 'PlacedAttempt', 'Worker')
 
-# A worker that has refused a start is the last choice for this long.
-_REFUSING_MS: Final = 5000.0
-# Some two days of VMs that are replaced; one that is remembered saves a next
-# owner a wait of seconds, one that is not costs it.
+# A worker that has refused a start is chosen last for this long.
+_REFUSAL_PENALTY_MS: Final = 5000.0
+# About two days of replaced VMs. The next owner of a shard need not wait for a
+# departed agent that is still known here, which saves seconds.
 _MAX_DEPARTED: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Departed:
-    """An agent that has ended with nothing left on its worker."""
+    """An agent that shut down with no task left on its worker."""
 
     worker: Worker
     message: AgentLeft
@@ -28,43 +28,51 @@
 
 
 class Fleet:
-    """All agents that an entry has met.
+    """All agents that have been connected to an entry.
 
     Attributes:
-        departed: Those that said that they end, until they come back.
+        departed: Agents that have announced their shutdown, by ID, until they
+            reconnect.
+        by_agent: The other agents with their workers, by agent ID.
     """
 
     def __init__(self, clock: Clock, incarnation: str = '') -> None:
-        """Know no agent; ``incarnation`` is the entry's process."""
+        """Start without agents.
+
+        Args:
+            incarnation: Identifies the entry's process.
+        """
         self._clock = clock
         self._incarnation = incarnation
-        self._begun_at = clock.now()
-        self._connections = count(1)
+        self._started_at_ms = clock.now()
+        self._connection_numbers = count(1)
         self.departed: dict[str, Departed] = {}
         self.by_agent: dict[str, Worker] = {}
 
     def connected(self, agent_id: str, zone: str) -> Worker:
-        """An agent has opened a connection."""
+        """Record a new connection of an agent and return its worker."""
         self.departed.pop(agent_id, None)
         worker = self.by_agent.get(agent_id)
         if worker is None:
             worker = Worker(agent_id, zone)
             self.by_agent[agent_id] = worker
         worker.is_connected = True
-        worker.connection = f'{self._incarnation}/{next(self._connections)}'
+        worker.connection = (
+            f'{self._incarnation}/{next(self._connection_numbers)}'
+        )
         worker.starts_sent = 0
         for placed in worker.placed_by_task.values():
             placed.start_index = 0
         return worker
 
     def disconnected(self, agent_id: str) -> None:
-        """The agent's connection is gone."""
+        """Record that an agent's connection was lost."""
         worker = self.by_agent[agent_id]
         worker.is_connected = False
         worker.disconnected_at = self._clock.now()
 
     def remove_departed(self, worker: Worker, message: AgentLeft) -> 'Departed':
-        """An agent says that it ends, and that nothing runs there."""
+        """Record the shutdown of an agent whose worker runs no task."""
         departed = Departed(worker, message, self._clock.now())
         self.departed[worker.agent_id] = departed
         if len(self.departed) > _MAX_DEPARTED:
@@ -72,24 +80,25 @@
         return departed
 
     def unreachable_since(self, agent_id: str) -> float | None:
-        """Since when an agent is away or its worker silent, None if neither.
+        """Return since when an agent or its worker has been unreachable.
 
-        One that this process has never met may have been away for longer.
+        Return None if neither is. An agent that has never connected to this
+        process may have been unreachable since before the process started.
         """
         worker = self.by_agent.get(agent_id)
         if worker is None:
-            return self._begun_at
+            return self._started_at_ms
         if not worker.is_connected:
             return worker.disconnected_at
         return worker.silent_since
 
     def grant_expires_at(self, agent_id: str) -> float:
-        """When all that this entry has granted an agent is over."""
+        """Return when the last grant from this entry to an agent expires."""
         worker = self.by_agent.get(agent_id)
         return worker.granted_at + GRANT_EXPIRY_MS if worker else 0
 
     def is_lost(self, agent_id: str) -> bool:
-        """Whether an agent is away and nothing ordered there can run."""
+        """Return whether an agent is disconnected and can run no task."""
         if agent_id in self.departed:
             return True
         worker = self.by_agent.get(agent_id)
@@ -98,12 +107,13 @@
         return not worker.is_connected and worker.is_lost(self._clock.now())
 
     def is_certainly_idle(self, agent_id: str) -> bool:
-        """Whether no next owner need wait for an agent.
+        """Return whether the next owner need not wait for an agent.
 
-        It is away for long enough, or here without a worker. Left on the
-        roster, an agent without a worker would hold up all keepers and jobs
-        for 6.3 s after each restart of everything, as its next process has
-        to take a hold of its predecessor for possible.
+        Either it has been disconnected for long enough, or it is connected and
+        has no worker. If an agent without a worker stayed on the roster, it
+        would delay all keepers and jobs for 6.3 s after each restart of all
+        processes, because its next process has to assume that a hold of the
+        previous one is still in force.
         """
         worker = self.by_agent.get(agent_id)
         if worker is not None and worker.has_no_worker:
@@ -111,7 +121,7 @@
         return self.is_lost(agent_id)
 
     def listable_agents(self) -> list[str]:
-        """Return the connected agents that have a worker, or may have one."""
+        """Return the IDs of connected agents that may have a worker."""
         return [
             worker.agent_id
             for worker in self.by_agent.values()
@@ -119,7 +129,7 @@
         ]
 
     def connected_agents(self) -> list[str]:
-        """Return the ids of the agents with an open connection."""
+        """Return the IDs of the agents with an open connection."""
         return [
             worker.agent_id
             for worker in self.by_agent.values()
@@ -127,35 +137,36 @@
         ]
 
     def forget_lost(self) -> None:
-        """Forget agents that are away and hold nothing, as VMs are replaced."""
+        """Remove lost agents without placed attempts, such as replaced VMs."""
         for agent_id, worker in list(self.by_agent.items()):
             if not worker.placed_by_task and self.is_lost(agent_id):
                 self.by_agent.pop(agent_id)
 
-    def refusing(self) -> set[str]:
-        """Return the agents whose workers have refused starts of late.
+    def recently_refusing(self) -> set[str]:
+        """Return the IDs of agents whose workers recently refused a start.
 
-        The most idle worker would be sent each start again, beside others
-        that run what they are sent.
+        Without a penalty, the most idle worker would get every start again,
+        while other workers would accept it.
         """
-        since = self._clock.now() - _REFUSING_MS
+        since_ms = self._clock.now() - _REFUSAL_PENALTY_MS
         return {
             worker.agent_id
             for worker in self.by_agent.values()
-            if worker.refused_at is not None and worker.refused_at > since
+            if worker.refused_at is not None and worker.refused_at > since_ms
         }
 
     def schedulable_workers(self) -> list[Worker]:
         """Return the workers that new tasks may be sent to now.
 
-        What is ordered at an agent whose grant is over counts as ended at
-        once, and would be ordered there again in each round.
+        Without the check of the grant, a task that is started at an agent whose
+        grant has expired would count as ended at once, and would be started
+        there again in each round.
         """
-        now = self._clock.now()
+        now_ms = self._clock.now()
         return [
-            each
-            for each in self.by_agent.values()
-            if each.accepts_tasks() and not each.is_lost(now)
+            worker
+            for worker in self.by_agent.values()
+            if worker.accepts_tasks() and not worker.is_lost(now_ms)
         ]
 
 
--- a/hyssopring/jobs/interference.py
+++ b/hyssopring/jobs/interference.py
@@ -1,14 +1,15 @@
-"""What fillers of an image do to keepers of another, learned from figures.
-
-Answers the pattern of pairs that differ: of nine images of fillers some two
-disturb a keeper's image, and the others may run beside it at full pace.
-
-A keeper's headroom is its target as a part of its tail: 1 at the target, more
-below it. It falls in line with the cores that fillers use beside it, so that a
-change of headroom tells of the images whose use has changed. Each keeper's
-image has a Kalman filter for constants (Kalman 1960; recursive least squares
-with a prior) with the whole covariance: images that always change together
-stay uncertain, each by itself.
+"""Interference between best-effort and latency-critical tasks, per image.
+
+Interference differs widely between pairs of images: of nine images of
+best-effort tasks, about two slow a given latency-critical image, and the others
+can run beside it at full pace.
+
+Headroom is the ratio of a task's latency target to its tail latency: 1 at the
+target, more below it. It falls linearly with the cores that best-effort tasks
+use beside it, so that a change of headroom is evidence about the images whose
+use has changed. Each latency-critical image has a Kalman filter for constants
+(Kalman 1960; recursive least squares with a prior) with the full covariance:
+images whose use always changes together each stay uncertain.
 """
 
 from collections import Counter
@@ -22,38 +23,38 @@
     'MAX_HEADROOM',
     'InterferenceEstimate',
     'InterferenceModel',
-    'KeeperFigure',
+    'LatencySample',
 )
 
-# Headroom that a core of an unknown image takes, and its deviation squared. Of
-# 36 pairs that were measured ten took 0.2 to 0.5, two 0.16, the others less
-# than 0.1.
-_PRIOR: Final = 0.15
+# The prior for the headroom that a core of an unknown image takes, and its
+# variance. Of 36 measured pairs, ten took 0.2 to 0.5, two 0.16 and the others
+# less than 0.1.
+_PRIOR_MEAN: Final = 0.15
 _PRIOR_VARIANCE: Final = 0.1
-# Headroom moves by some 0.36 from one figure to the next with no filler
-# changed.
+# Headroom varies by about 0.36 between samples with unchanged best-effort use.
 _NOISE_VARIANCE: Final = 0.13
-# Headrooms above this are alike: the keeper is at rest.
+# Higher headrooms count as equal: the task is nearly idle.
 MAX_HEADROOM: Final = 6.0
-# Below this the tail no longer follows what is beside the keeper.
-_LEAST_HEADROOM: Final = 0.4
-# Changes of use, in cores, and pauses, in ms, that say something.
-_LEAST_CHANGE: Final = 0.1
-_LONGEST_PAUSE_MS: Final = 1200.0
-# Rounding may leave less than nothing after many figures.
-_LEAST_VARIANCE: Final = 1e-6
-# Images of fillers that are remembered for each keeper's image.
+# Below this headroom, the tail latency no longer depends on neighboring tasks.
+_MIN_HEADROOM: Final = 0.4
+# Samples are compared if the use of an image, in cores, has changed by more
+# than this, and if they are at most this far apart.
+_MIN_USE_CHANGE: Final = 0.1
+_MAX_SAMPLE_GAP_MS: Final = 1200.0
+# Rounding errors may make a variance negative after many samples.
+_MIN_VARIANCE: Final = 1e-6
+# Best-effort images that are kept per latency-critical image.
 _MAX_IMAGES: Final = 40
 _MILLIS: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class InterferenceEstimate:
-    """The headroom that a core of a filler takes of a keeper.
+    """The headroom that one core of a best-effort task takes from a task.
 
     Attributes:
-        mean: The most likely figure, never below nothing.
-        deviation: Its standard deviation; large for a pair not seen yet.
+        mean: The expected headroom, never negative.
+        deviation: The standard deviation; large for a pair not yet observed.
     """
 
     mean: float
@@ -61,58 +62,75 @@
 
     @property
     def upper_bound(self) -> float:
-        """What has to be reckoned with: the mean and one deviation."""
+        """Return the mean plus one standard deviation."""
         return self.mean + self.deviation
 
 
-_UNKNOWN_PAIR: Final = InterferenceEstimate(_PRIOR, _PRIOR_VARIANCE**0.5)
+_UNKNOWN_PAIR: Final = InterferenceEstimate(_PRIOR_MEAN, _PRIOR_VARIANCE**0.5)
 
 
 @dataclass(slots=True)
-class _Filter:
-    """What each image of fillers takes of one image of keepers."""
-
-    means: dict[str, float] = field(default_factory=dict)
-    variances: dict[tuple[str, str], float] = field(default_factory=dict)
-
-    def add(self, image: str) -> None:
-        """Know the image from now on."""
-        if image not in self.means:
-            self.means[image] = _PRIOR
-            self.variances[image, image] = _PRIOR_VARIANCE
-
-    def learn(self, change: dict[str, float], lost: float) -> None:
-        """Headroom of ``lost`` went as the images' use rose by ``change``."""
-        for image in change:
-            self.add(image)
-        gains = self._gains(change)
-        spread = _NOISE_VARIANCE + _dot(gains, change)
-        wrong = lost - _dot(self.means, change)
-        for image, gain in gains.items():
-            self.means[image] += gain * wrong / spread
-        for one, other in product(gains, repeat=2):
-            known = self.variances.get((one, other), 0)
-            known -= gains[one] * gains[other] / spread
-            self.variances[one, other] = known
-
-    def _gains(self, change: dict[str, float]) -> dict[str, float]:
-        """Return how much each mean follows what the change shows."""
+class _KalmanFilter:
+    """What each best-effort image takes from one latency-critical image.
+
+    Attributes:
+        mean_by_image: Headroom per core.
+        covariances: By pairs of images; pairs without one have covariance 0.
+    """
+
+    mean_by_image: dict[str, float] = field(default_factory=dict)
+    covariances: dict[tuple[str, str], float] = field(default_factory=dict)
+
+    def add_image(self, image: str) -> None:
+        """Start from the prior for an image that is new."""
+        if image not in self.mean_by_image:
+            self.mean_by_image[image] = _PRIOR_MEAN
+            self.covariances[image, image] = _PRIOR_VARIANCE
+
+    def update(
+        self, core_change_by_image: dict[str, float], lost_headroom: float
+    ) -> None:
+        """Correct the estimates by one change of use and of headroom."""
+        for image in core_change_by_image:
+            self.add_image(image)
+        gain_by_image = self._gains(core_change_by_image)
+        variance = _NOISE_VARIANCE + _dot(gain_by_image, core_change_by_image)
+        error = lost_headroom - _dot(self.mean_by_image, core_change_by_image)
+        for image, gain in gain_by_image.items():
+            self.mean_by_image[image] += gain * error / variance
+        for first, second in product(gain_by_image, repeat=2):
+            covariance = self.covariances.get((first, second), 0)
+            covariance -= (
+                gain_by_image[first] * gain_by_image[second] / variance
+            )
+            self.covariances[first, second] = covariance
+
+    def _gains(
+        self, core_change_by_image: dict[str, float]
+    ) -> dict[str, float]:
+        """Return the gain of each image's mean, before normalization."""
         return {
             image: sum(
-                self.variances.get((image, other), 0) * cores
-                for other, cores in change.items()
+                self.covariances.get((image, other), 0) * cores
+                for other, cores in core_change_by_image.items()
             )
-            for image in self.means
+            for image in self.mean_by_image
         }
 
 
-def _dot(by_image: dict[str, float], change: dict[str, float]) -> float:
-    return sum(by_image[image] * cores for image, cores in change.items())
+def _dot(
+    factor_by_image: dict[str, float],
+    core_change_by_image: dict[str, float],
+) -> float:
+    return sum(
+        factor_by_image[image] * cores
+        for image, cores in core_change_by_image.items()
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class KeeperFigure:
-    """What one listing says of a keeper with a target, in milliseconds."""
+class LatencySample:
+    """The tail latency and target of a latency-critical task, in ms."""
 
     task: str
     image: str
@@ -121,90 +139,135 @@
 
     @property
     def headroom(self) -> float:
-        """The target as a part of the tail; a tail of 0 is none yet."""
+        """Return the ratio of target to tail, at most ``MAX_HEADROOM``.
+
+        A tail of 0 means that none has been measured yet.
+        """
         return min(MAX_HEADROOM, self.target_ms / max(self.tail_ms, 1))
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
-    """A keeper's figure and what fillers used beside it, in 1/1000 cores."""
+class _Observation:
+    """A sample, and what each best-effort image used beside the task.
 
-    at: float
-    figure: KeeperFigure
-    use: Counter[str]
+    Attributes:
+        millicores_by_image: Thousandths of a core.
+    """
+
+    observed_at_ms: float
+    sample: LatencySample
+    millicores_by_image: Counter[str]
 
 
 class InterferenceModel:
-    """Learns which fillers disturb which keepers."""
+    """Estimate which best-effort images slow which latency-critical ones."""
 
     def __init__(self) -> None:
-        """Know no pair."""
-        self._filter_by_image: dict[str, _Filter] = {}
-        self._seen_by_task: dict[str, _Seen] = {}
+        """Start without observations."""
+        self._filter_by_image: dict[str, _KalmanFilter] = {}
+        self._observation_by_task: dict[str, _Observation] = {}
 
-    def observe_workers(self, workers: Iterable[Worker], now: float) -> None:
-        """Learn from what the workers' reports say of their tasks."""
-        seen: dict[str, _Seen] = {}
+    def observe_workers(self, workers: Iterable[Worker], now_ms: float) -> None:
+        """Update the estimates from the reports of all workers."""
+        observation_by_task: dict[str, _Observation] = {}
         for worker in workers:
-            use: Counter[str] = Counter()
-            for filler in worker.best_effort_tasks():
-                use[filler.step.image] += filler.load
+            millicores_by_image: Counter[str] = Counter()
+            for best_effort in worker.best_effort_tasks():
+                millicores_by_image[best_effort.step.image] += best_effort.load
             for placed in worker.latency_critical_tasks():
-                keeper = KeeperFigure(
+                sample = LatencySample(
                     str(placed.name),
                     placed.step.image,
                     placed.load,
                     placed.step.target_ms,
                 )
-                seen[keeper.task] = self._look_at(keeper, use, now)
-        self._seen_by_task = seen
+                observation_by_task[sample.task] = self._observe(
+                    sample, millicores_by_image, now_ms
+                )
+        self._observation_by_task = observation_by_task
 
     def observe_worker(
         self,
-        keepers: Iterable[KeeperFigure],
-        use: Counter[str],
-        now: float,
+        samples: Iterable[LatencySample],
+        millicores_by_image: Counter[str],
+        now_ms: float,
     ) -> None:
-        """Learn from one worker's figures: ``use`` is in 1/1000 cores."""
-        self._seen_by_task = {
-            keeper.task: self._look_at(keeper, use, now) for keeper in keepers
+        """Update the estimates from the tasks of the only worker.
+
+        Args:
+            millicores_by_image: What each best-effort image uses, in
+                thousandths of a core.
+        """
+        self._observation_by_task = {
+            sample.task: self._observe(sample, millicores_by_image, now_ms)
+            for sample in samples
         }
 
-    def per_core(self, keeper: str, filler: str) -> InterferenceEstimate:
-        """Return what a core of a filler's image takes of a keeper's."""
-        known = self._filter_by_image.get(keeper)
-        if known is None or filler not in known.means:
+    def per_core(
+        self, latency_critical_image: str, best_effort_image: str
+    ) -> InterferenceEstimate:
+        """Return the headroom that a core of the second takes of the first."""
+        kalman_filter = self._filter_by_image.get(latency_critical_image)
+        if (
+            kalman_filter is None
+            or best_effort_image not in kalman_filter.mean_by_image
+        ):
             return _UNKNOWN_PAIR
-        variance = max(known.variances[filler, filler], _LEAST_VARIANCE)
-        return InterferenceEstimate(max(known.means[filler], 0), variance**0.5)
-
-    def _look_at(
+        variance = max(
+            kalman_filter.covariances[best_effort_image, best_effort_image],
+            _MIN_VARIANCE,
+        )
+        return InterferenceEstimate(
+            max(kalman_filter.mean_by_image[best_effort_image], 0),
+            variance**0.5,
+        )
+
+    def _observe(
         self,
-        keeper: KeeperFigure,
-        use: Counter[str],
-        now: float,
-    ) -> _Seen:
-        before = self._seen_by_task.get(keeper.task)
-        if before is not None and before.figure.tail_ms == keeper.tail_ms:
-            return before
-        seen = _Seen(now, keeper, use)
-        if before is not None and keeper.tail_ms and before.figure.tail_ms:
-            self._compare(before, seen)
-        return seen
-
-    def _compare(self, before: _Seen, after: _Seen) -> None:
-        headrooms = (before.figure.headroom, after.figure.headroom)
-        if max(headrooms) < _LEAST_HEADROOM:
+        sample: LatencySample,
+        millicores_by_image: Counter[str],
+        now_ms: float,
+    ) -> _Observation:
+        """Return the task's latest observation; an equal tail is no new one."""
+        previous = self._observation_by_task.get(sample.task)
+        if previous is not None and previous.sample.tail_ms == sample.tail_ms:
+            return previous
+        observation = _Observation(now_ms, sample, millicores_by_image)
+        if previous is not None and sample.tail_ms and previous.sample.tail_ms:
+            self._compare(previous, observation)
+        return observation
+
+    def _compare(self, previous: _Observation, current: _Observation) -> None:
+        headrooms = (previous.sample.headroom, current.sample.headroom)
+        if max(headrooms) < _MIN_HEADROOM:
             return
-        if after.at - before.at > _LONGEST_PAUSE_MS:
+        if (
+            current.observed_at_ms - previous.observed_at_ms
+            > _MAX_SAMPLE_GAP_MS
+        ):
             return
-        change = {
-            filler: cores
-            for filler in after.use.keys() | before.use.keys()
-            if abs(cores := (after.use[filler] - before.use[filler]) / _MILLIS)
-            > _LEAST_CHANGE
+        core_change_by_image = {
+            best_effort_image: cores
+            for best_effort_image in current.millicores_by_image.keys()
+            | previous.millicores_by_image.keys()
+            if abs(
+                cores := (
+                    current.millicores_by_image[best_effort_image]
+                    - previous.millicores_by_image[best_effort_image]
+                )
+                / _MILLIS
+            )
+            > _MIN_USE_CHANGE
         }
-        image = after.figure.image
-        known = self._filter_by_image.setdefault(image, _Filter())
-        if change and len(known.means.keys() | change.keys()) <= _MAX_IMAGES:
-            known.learn(change, headrooms[0] - headrooms[1])
+        image = current.sample.image
+        kalman_filter = self._filter_by_image.setdefault(image, _KalmanFilter())
+        if (
+            core_change_by_image
+            and len(
+                kalman_filter.mean_by_image.keys() | core_change_by_image.keys()
+            )
+            <= _MAX_IMAGES
+        ):
+            kalman_filter.update(
+                core_change_by_image, headrooms[0] - headrooms[1]
+            )
--- a/hyssopring/jobs/job_metrics.py
+++ b/hyssopring/jobs/job_metrics.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of jobs, from the events that are logged anyway.
+"""Counters and histograms of jobs, derived from log events.
 
-Each decision has one log line; counted here, a series and the lines of the
-same name cannot tell different stories. docs/METRICS.md lists the series.
+Deriving them from the log keeps metrics and log lines consistent.
+docs/METRICS.md lists the series.
 """
 
 from types import MappingProxyType
@@ -12,11 +12,11 @@
 
 __all__ = ('JobMetrics',)
 
-Fields = Mapping[str, object]
+EventFields = Mapping[str, object]
 
-# Counters of events by one of their fields: the series, and the field, empty
-# for a plain count.
-_COUNTED: Final = MappingProxyType(
+# The name of the counter of each event, and the event field that is its label;
+# empty for a counter without a label.
+_COUNTER_BY_EVENT: Final = MappingProxyType(
     {
         Event.JOB_ACCEPTED: ('jobs_accepted_total', ''),
         Event.JOB_FINISHED: ('jobs_finished_total', 'state'),
@@ -45,34 +45,38 @@
 
 
 class JobMetrics:
-    """Takes all events of one process."""
+    """Update the metrics of one process from its log events."""
 
     def __init__(self, metrics: Metrics) -> None:
-        """Count into ``metrics``."""
+        """Update ``metrics``."""
         self._metrics = metrics
 
-    def record_event(self, event: Event, fields: Fields) -> None:
-        """Count one event; a listener of ``listen_to_events``."""
-        counted = _COUNTED.get(event)
-        if counted is None:
+    def record_event(self, event: Event, fields: EventFields) -> None:
+        """Count one event; pass this method to ``listen_to_events``."""
+        counter = _COUNTER_BY_EVENT.get(event)
+        if counter is None:
             return
-        series, name = counted
-        label = f'{{{name}="{fields.get(name, "")}"}}' if name else ''
+        series, field_name = counter
+        label = (
+            f'{{{field_name}="{fields.get(field_name, "")}"}}'
+            if field_name
+            else ''
+        )
         self._metrics.count(series + label)
         if event is Event.JOB_FINISHED:
-            self._finished(fields)
+            self._record_finished(fields)
         elif event is Event.TASK_PLACED:
             self._observe('report_age', fields.get('report_age_ms'))
         elif event is Event.ADVICE_GIVEN:
             self._observe('question', fields.get('took_ms'))
 
-    def _finished(self, fields: Fields) -> None:
+    def _record_finished(self, fields: EventFields) -> None:
         age_ms, due_ms = fields.get('age_ms'), fields.get('due_ms')
         self._observe('job_age', age_ms)
         if isinstance(age_ms, int) and isinstance(due_ms, int):
             if age_ms > due_ms:
                 self._metrics.count('jobs_late_total')
 
-    def _observe(self, series: str, millis: object) -> None:
-        if isinstance(millis, int):
-            self._metrics.observe(series, millis)
+    def _observe(self, series: str, duration_ms: object) -> None:
+        if isinstance(duration_ms, int):
+            self._metrics.observe(series, duration_ms)
--- a/hyssopring/jobs/keeper_waits.py
+++ b/hyssopring/jobs/keeper_waits.py
@@ -1,4 +1,4 @@
-"""Notices lasting tasks that do not run, and says what keeps them from it."""
+"""Detection of keepers' tasks that do not run, and of what prevents them."""
 
 import enum
 from collections import defaultdict
@@ -6,45 +6,45 @@
 from typing import Callable, Final, Iterator, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.ticket_manager import TicketManager
-from hyssopring.jobs.job_record import JobRecord, StepRun
+from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.interference import InterferenceModel
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.model import Step, TaskName
-from hyssopring.jobs.placement_option import PlacementOption
 from hyssopring.jobs.owned_shards import OwnedShards
+from hyssopring.jobs.placement_option import PlacementOption
 from hyssopring.jobs.shards import shard_of
-from hyssopring.jobs.crash_suspects import CrashSuspects
+from hyssopring.jobs.ticket_manager import TicketManager
 from hyssopring.logs import Event, log_event
 
 __all__ = ('KeeperWaitMonitor', 'WaitReason')
 
-_LOOK_MS: Final = MILLIS_PER_SECOND
-# A lasting task that runs nowhere for this long is worth a line: the ordinary
-# restart takes a few planning rounds.
-_LONG_MS: Final = 3 * MILLIS_PER_SECOND
-_REPEAT_MS: Final = 5 * MILLIS_PER_SECOND
-# After a loss of many workers all lasting tasks wait for the same few reasons.
-_MOST_LINES: Final = 20
-_MOST_AGENTS: Final = 5
+_CHECK_INTERVAL_MS: Final = MILLIS_PER_SECOND
+# A task that has not run for this long is logged; an ordinary restart takes a
+# few planning rounds.
+_LONG_WAIT_MS: Final = 3 * MILLIS_PER_SECOND
+_LOG_INTERVAL_MS: Final = 5 * MILLIS_PER_SECOND
+# After a loss of many workers, all tasks wait for the same few reasons.
+_MAX_LINES: Final = 20
+_MAX_AGENTS: Final = 5
 
 
 class WaitReason(enum.Enum):
-    """What keeps a lasting task from running.
-
-    NO_AUTHORITY: This owner may not order: the store does not answer it.
-    NOT_DURABLE: Where it is to run cannot be written: the store fails.
-    UNHEARD: An agent that is away may still run the task.
-    TRIAL: A suspect waits for a worker that may be spared.
-    NO_TICKET: The advice service has allowed no worker yet.
-    NO_WORKER: No worker of its service takes tasks.
-    NO_LABEL: None of them has the label that it needs.
-    NO_ROOM: None of those has room.
-    WORKER_LIMIT: Each of those has as many tasks of the step as it may.
-    UNCONFIRMED: It was ordered, and no report has named it.
-    STOPPING: An attempt is to stop, and has not ended.
-    NEXT_ROUND: Nothing: the next planning round places it.
-    UNACCOUNTED: It neither waits nor is placed, which must not be.
+    """What prevents a keeper's task from running.
+
+    NO_AUTHORITY: This owner may not start tasks: the store does not answer.
+    NOT_DURABLE: The task's location cannot be written: the store fails.
+    UNHEARD: An unreachable agent may still run the task.
+    TRIAL: The task is a crash suspect and waits for a worker for its trial.
+    NO_TICKET: The advice service has approved no worker yet.
+    NO_WORKER: No worker of the service accepts tasks.
+    NO_LABEL: No such worker has the required label.
+    NO_ROOM: No such worker has enough free capacity.
+    WORKER_LIMIT: All such workers have reached the step's limit per worker.
+    UNCONFIRMED: The start was sent, and no report has listed the task.
+    STOPPING: An attempt is being stopped.
+    NEXT_ROUND: Nothing: the next planning round places the task.
+    UNACCOUNTED: The task is neither pending nor placed, which is a fault.
     """
 
     NO_AUTHORITY = 'no-authority'
@@ -64,61 +64,66 @@
 
 @dataclass(frozen=True, slots=True)
 class _Obstacle:
-    """A reason, the agents that it is about, and how long it may last."""
+    """What prevents a task from running.
+
+    Attributes:
+        agents: IDs of the agents involved.
+        remaining_ms: How much longer it lasts at most, 0 if unknown.
+    """
 
     reason: WaitReason
     agents: tuple[str, ...] = ()
-    left_ms: float = 0
+    remaining_ms: float = 0
 
 
 @dataclass(slots=True)
 class _Wait:
     """Since when a task does not run, and when that was last logged."""
 
-    since: float
-    logged_at: float | None = None
+    since_ms: float
+    logged_at_ms: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class _RunKey:
-    """A job and a step of one of its occurrences."""
+    """A job, and a step of one of its occurrences."""
 
     job_id: str
-    run: str
+    run_name: str
 
     @classmethod
-    def of_task(cls, name: TaskName) -> '_RunKey':
-        return cls(name.job_id, f'{name.occurrence}.{name.step}')
+    def from_task_name(cls, task_name: TaskName) -> '_RunKey':
+        return cls(task_name.job_id, f'{task_name.occurrence}.{task_name.step}')
 
 
 @dataclass(frozen=True, slots=True)
-class _Order:
-    """An attempt of a lasting task, and the worker that it was sent to."""
+class _Placement:
+    """An attempt of a keeper's task, and its worker."""
 
     worker: Worker
     placed: PlacedAttempt
 
     @property
     def is_running(self) -> bool:
-        """Whether a report has named it, and it is not to stop."""
+        """Return whether a report lists the attempt, and it is not stopping."""
         return self.placed.reports > 0 and not self.placed.is_stopping
 
 
 @dataclass(frozen=True, slots=True)
-class _Absent:
-    """A lasting task that is not known to run, and its order if any."""
+class _MissingTask:
+    """A keeper's task that is not known to run."""
 
     record: JobRecord
     run: StepRun
-    name: TaskName
-    order: _Order | None
+    task_name: TaskName
+    placement: _Placement | None
 
 
 class KeeperWaitMonitor:
-    """Looks each second at the lasting tasks of all owned shards.
+    """Check the tasks of all keepers of the owned shards every second.
 
     Attributes:
-        waiting: How many have not run for a long time.
+        waiting: How many tasks have not run for a long time.
     """
 
     def __init__(
@@ -127,153 +132,178 @@
         fleet: Fleet,
         shards: OwnedShards,
         may_act: Callable[[], bool],
-        advice: TicketManager,
+        ticket_manager: TicketManager,
         suspects: CrashSuspects,
     ) -> None:
-        """Begin with no task that waits."""
+        """Start with no missing task.
+
+        Args:
+            may_act: Whether this owner may start tasks now.
+        """
         self._clock = clock
         self._fleet = fleet
         self._shards = shards
         self._may_act = may_act
-        self._advice = advice
+        self._ticket_manager = ticket_manager
         self._suspects = suspects
-        self._looked_at = clock.now()
+        self._checked_at_ms = clock.now()
         self._wait_by_task: dict[str, _Wait] = {}
         self.waiting = 0
 
     def check(self) -> None:
-        """Look at all lasting tasks, if it is time to; call regularly."""
-        now = self._clock.now()
-        if now - self._looked_at < _LOOK_MS:
+        """Check all keepers' tasks if the check is due; call regularly."""
+        now_ms = self._clock.now()
+        if now_ms - self._checked_at_ms < _CHECK_INTERVAL_MS:
             return
-        self._looked_at = now
-        absent_by_task = {str(each.name): each for each in self._absent()}
-        for task in self._wait_by_task.keys() - absent_by_task.keys():
+        self._checked_at_ms = now_ms
+        missing_by_task = {
+            str(missing.task_name): missing for missing in self._missing()
+        }
+        for task in self._wait_by_task.keys() - missing_by_task.keys():
             self._wait_by_task.pop(task)
-        for task in absent_by_task:
-            self._wait_by_task.setdefault(task, _Wait(now))
-        long = {
+        for task in missing_by_task:
+            self._wait_by_task.setdefault(task, _Wait(now_ms))
+        long_wait_by_task = {
             task: wait
             for task, wait in self._wait_by_task.items()
-            if now - wait.since >= _LONG_MS
+            if now_ms - wait.since_ms >= _LONG_WAIT_MS
         }
-        self.waiting = len(long)
-        due = [
+        self.waiting = len(long_wait_by_task)
+        due_tasks = [
             task
-            for task, wait in long.items()
-            if wait.logged_at is None or now - wait.logged_at >= _REPEAT_MS
+            for task, wait in long_wait_by_task.items()
+            if wait.logged_at_ms is None
+            or now_ms - wait.logged_at_ms >= _LOG_INTERVAL_MS
         ]
-        for due_task in due[:_MOST_LINES]:
-            self._log(absent_by_task[due_task], long[due_task], now)
-
-    def _log(self, absent: _Absent, wait: _Wait, now: float) -> None:
-        wait.logged_at = now
-        obstacle = self._obstacle(absent)
+        for due_task in due_tasks[:_MAX_LINES]:
+            self._log(
+                missing_by_task[due_task], long_wait_by_task[due_task], now_ms
+            )
+
+    def _log(self, missing: _MissingTask, wait: _Wait, now_ms: float) -> None:
+        wait.logged_at_ms = now_ms
+        obstacle = self._obstacle(missing)
         log_event(
             Event.TASK_WAITING,
-            task=str(absent.name),
-            waited_ms=int(now - wait.since),
+            task=str(missing.task_name),
+            waited_ms=int(now_ms - wait.since_ms),
             reason=obstacle.reason.value,
-            agents=' '.join(obstacle.agents[:_MOST_AGENTS]),
+            agents=' '.join(obstacle.agents[:_MAX_AGENTS]),
             count=len(obstacle.agents),
-            left_ms=int(obstacle.left_ms),
+            left_ms=int(obstacle.remaining_ms),
             waiting=self.waiting,
         )
 
-    def _absent(self) -> Iterator[_Absent]:
-        """Yield the lasting tasks that wait, or of which no report tells."""
-        orders_by_run = self._orders_by_run()
+    def _missing(self) -> Iterator[_MissingTask]:
+        """Yield the keepers' tasks that no report lists as running."""
+        placements_by_run = self._placements_by_run()
         for record in self._shards.live_jobs():
             if not record.job.is_keeper:
                 continue
             for run in record.ready_runs():
                 if run.step.is_keeper:
-                    key = _RunKey(record.job.job_id, run.name)
-                    yield from _absent_of(record, run, orders_by_run[key])
-
-    def _orders_by_run(self) -> dict[_RunKey, dict[int, _Order]]:
-        """Return where lasting tasks were ordered, by their index."""
-        by_run: dict[_RunKey, dict[int, _Order]] = defaultdict(dict)
+                    run_key = _RunKey(record.job.job_id, run.name)
+                    yield from _missing_of(
+                        record, run, placements_by_run[run_key]
+                    )
+
+    def _placements_by_run(self) -> dict[_RunKey, dict[int, _Placement]]:
+        """Return the placements of keepers' tasks, by their index."""
+        by_run: dict[_RunKey, dict[int, _Placement]] = defaultdict(dict)
         for worker in self._fleet.by_agent.values():
             for placed in worker.placed_by_task.values():
                 if placed.step.is_keeper:
-                    key = _RunKey.of_task(placed.name)
-                    by_run[key][placed.name.index] = _Order(worker, placed)
+                    run_key = _RunKey.from_task_name(placed.name)
+                    by_run[run_key][placed.name.index] = _Placement(
+                        worker, placed
+                    )
         return by_run
 
-    def _obstacle(self, absent: _Absent) -> _Obstacle:
-        """Return what is in the way of a task, the first thing first."""
-        order = absent.order
-        if order is not None:
+    def _obstacle(self, missing: _MissingTask) -> _Obstacle:
+        """Return the first obstacle, in the order in which tasks start."""
+        placement = missing.placement
+        if placement is not None:
             reason = WaitReason.UNCONFIRMED
-            if order.placed.is_stopping:
+            if placement.placed.is_stopping:
                 reason = WaitReason.STOPPING
-            return _Obstacle(reason, (order.worker.agent_id,))
-        if absent.name.index not in absent.run.waiting:
+            return _Obstacle(reason, (placement.worker.agent_id,))
+        if missing.task_name.index not in missing.run.waiting:
             return _Obstacle(WaitReason.UNACCOUNTED)
         if not self._may_act():
             return _Obstacle(WaitReason.NO_AUTHORITY)
-        return self._unstartable(absent) or _Obstacle(self._unplaced(absent))
-
-    def _unstartable(self, absent: _Absent) -> _Obstacle | None:
-        record, name = absent.record, absent.name
-        owned = self._shards.by_shard[shard_of(name.job_id)]
-        if name.index not in owned.startable(record, absent.run):
-            agents = tuple(sorted(owned.possible_agents(name)))
-            left = map(owned.wait_ms, agents)
-            return _Obstacle(WaitReason.UNHEARD, agents, max(left, default=0))
+        return self._start_obstacle(missing) or _Obstacle(
+            self._placement_obstacle(missing)
+        )
+
+    def _start_obstacle(self, missing: _MissingTask) -> _Obstacle | None:
+        """Return why the task may not start on any worker, None if it may."""
+        record, task_name = missing.record, missing.task_name
+        owned = self._shards.by_shard[shard_of(task_name.job_id)]
+        if task_name.index not in owned.startable(record, missing.run):
+            agents = tuple(sorted(owned.possible_agents(task_name)))
+            waits_ms = map(owned.wait_ms, agents)
+            return _Obstacle(
+                WaitReason.UNHEARD, agents, max(waits_ms, default=0)
+            )
         if owned.roster.is_failing:
             return _Obstacle(WaitReason.NOT_DURABLE)
-        if self._suspects.needs_trial(record, name):
-            trials = tuple(sorted(self._suspects.agents))
-            return _Obstacle(WaitReason.TRIAL, trials)
-        tickets = self._advice.permitted(record, absent.run)
+        if self._suspects.needs_trial(record, task_name):
+            trial_agents = tuple(sorted(self._suspects.agents))
+            return _Obstacle(WaitReason.TRIAL, trial_agents)
+        tickets = self._ticket_manager.valid_tickets(record, missing.run)
         if tickets is not None and not tickets:
             return _Obstacle(WaitReason.NO_TICKET)
         return None
 
-    def _unplaced(self, absent: _Absent) -> WaitReason:
-        """Return why no worker is chosen."""
-        service = absent.record.job.queue.service
-        tickets = self._advice.permitted(absent.record, absent.run)
-        harms = InterferenceModel()
+    def _placement_obstacle(self, missing: _MissingTask) -> WaitReason:
+        """Return why no worker is chosen for a task that may start."""
+        service = missing.record.job.queue.service
+        tickets = self._ticket_manager.valid_tickets(
+            missing.record, missing.run
+        )
+        interference = InterferenceModel()
         options = [
-            PlacementOption.from_worker(worker, harms)
-            for worker in self._suspects.spared(self._shards)
+            PlacementOption.from_worker(worker, interference)
+            for worker in self._suspects.available_workers(self._shards)
             if worker.service == service
             and (tickets is None or worker.boot in tickets)
         ]
-        return _objection(options, absent.run.step, absent.name)
+        return _unmet_condition(options, missing.run.step, missing.task_name)
 
 
-def _absent_of(
+def _missing_of(
     record: JobRecord,
     run: StepRun,
-    order_by_index: Mapping[int, _Order],
-) -> Iterator[_Absent]:
+    placement_by_index: Mapping[int, _Placement],
+) -> Iterator[_MissingTask]:
     for index in range(run.step.count):
-        order = order_by_index.get(index)
-        if order is None or not order.is_running:
-            name = run.task(record.job.job_id, index)
-            yield _Absent(record, run, name, order)
+        placement = placement_by_index.get(index)
+        if placement is None or not placement.is_running:
+            task_name = run.task(record.job.job_id, index)
+            yield _MissingTask(record, run, task_name, placement)
 
 
-def _objection(
+def _unmet_condition(
     options: list[PlacementOption],
     step: Step,
-    name: TaskName,
+    task_name: TaskName,
 ) -> WaitReason:
-    """Return which condition leaves no worker."""
+    """Return the first condition that no worker meets."""
     if not options:
         return WaitReason.NO_WORKER
     labelled = [option for option in options if option.has_label(step)]
     if not labelled:
         return WaitReason.NO_LABEL
-    roomy = [
-        option for option in labelled if option.allows(step, is_starved=True)
+    with_capacity = [
+        option
+        for option in labelled
+        if option.has_capacity(step, is_starved=True)
     ]
-    if not roomy:
+    if not with_capacity:
         return WaitReason.NO_ROOM
-    if any(option.permits(step, name) for option in roomy):
+    if any(
+        option.is_below_worker_limit(step, task_name)
+        for option in with_capacity
+    ):
         return WaitReason.NEXT_ROUND
     return WaitReason.WORKER_LIMIT
--- a/hyssopring/jobs/pacing.py
+++ b/hyssopring/jobs/pacing.py
@@ -1,9 +1,11 @@
-"""Slows fillers down just so far that the keepers beside them do well.
+"""Throttling of best-effort tasks beside latency-critical ones on a worker.
 
-Answers the pattern of keepers that reserve most of the workers and use half
-of it, while fillers wait: fillers run beside keepers, and paces are set from
-what each filler takes of the keepers' headroom. Those that harm are cut, at
-once as far as needed; those that do not go on at full pace.
+Latency-critical tasks reserve most of the CPU and use half of it while
+best-effort tasks wait. Best-effort tasks therefore run beside them, at a pace
+that depends on the headroom they take: those that interfere are throttled at
+once as far as needed, and the others go on at full pace.
+
+A pace is the percentage that a task may use of the CPU that it asks for.
 """
 
 from collections import Counter
@@ -20,264 +22,325 @@
 from hyssopring.jobs.interference import (
     InterferenceEstimate,
     InterferenceModel,
-    KeeperFigure,
+    LatencySample,
 )
 from hyssopring.logs import Event, log_event
 
 __all__ = ('Pacer',)
 
-# Headrooms: 1 is a keeper at its target. Below the first paces are cut, so far
-# that the second is left; rises leave the second, too. A figure tells of half a
-# second that has gone by: in the time until a pace acts, load that swings takes
-# 0.2 of headroom more. A second over the target costs a keeper's users what
-# some twenty core-seconds of fillers earn theirs.
-_LOW: Final = 1.2
-_AIM: Final = 1.45
-# A pace rises by this much a figure at most.
-_RISE: Final = 34
-# Smaller changes are not worth a call.
-_LEAST_RISE: Final = 5
-# A new agent starts what it finds from here.
-_FIRST: Final = 50
-# A filler that takes less headroom a core than this is cut only when all stop.
-_BLAMELESS: Final = 0.03
-# A keeper that is over its target for longer than this has fillers cut that may
-# harm it, not only those that are known to: the model is wrong, or too new.
-_DOUBT_MS: Final = 900.0
-# After this all fillers beside it stop: users bear 4 s on end at the most, and
-# the next figure and the pace take up to 1.1 s.
-_STILL_MS: Final = 2000.0
-# Figures are for half a second and told as often; the same ones told later
-# than this, in ms, are taken for new ones that are equal.
-_FIGURE_MS: Final = 450.0
+# Headroom is the ratio of the latency target to the tail latency. Below the
+# first value, tasks are throttled until the second one is reached; increases
+# of a pace leave the second one as well. A sample covers the past half second:
+# until a new pace acts, changes of load take up to 0.2 of headroom more. A
+# second over the target costs the users of a latency-critical task as much as
+# about twenty core-seconds of best-effort work are worth.
+_THROTTLING_HEADROOM: Final = 1.2
+_TARGET_HEADROOM: Final = 1.45
+# The most that a pace increases per sample.
+_MAX_INCREASE: Final = 34
+# Smaller increases are not worth a call to the worker.
+_MIN_INCREASE: Final = 5
+# The assumed pace of tasks that a new agent finds running.
+_INITIAL_PACE: Final = 50
+# A task that takes less headroom per core than this is throttled only when all
+# tasks are stopped.
+_NEGLIGIBLE_PER_CORE: Final = 0.03
+# If a task is over its target for longer than this, tasks that may interfere
+# are throttled as well as those that are known to: the model is wrong, or has
+# too few samples.
+_UNCERTAIN_AFTER_MS: Final = 900.0
+# After this time all best-effort tasks beside it are stopped. Users accept 4 s
+# over the target at most, and the next sample and the call take up to 1.1 s.
+_STOP_AFTER_MS: Final = 2000.0
+# Samples cover half a second and arrive as often. Equal samples that are
+# further apart than this, in ms, count as new.
+_MIN_SAMPLE_INTERVAL_MS: Final = 450.0
 _MILLIS: Final = 1000
 
 
 @dataclass(slots=True)
-class _Filler:
-    """A running filler while its pace is decided.
+class _BestEffortTask:
+    """A running best-effort task while its new pace is computed.
 
     Attributes:
-        cores: What it uses at full pace.
-        use: The cores that it uses now, as far as is known.
-        pace: The pace that it is to have.
+        full_pace_cores: The cores that it uses at full pace.
+        used_cores: The cores that it uses now, as far as known.
+        pace: The new pace.
     """
 
     attempt: Attempt
     image: str
-    cores: float
-    use: float
+    full_pace_cores: float
+    used_cores: float
     pace: float
 
-    def cut(self, cores: float) -> None:
-        """Let it use so many cores less."""
-        self.pace *= 1 - cores / self.use
-        self.use -= cores
+    def throttle(self, cores: float) -> None:
+        """Reduce the pace by this many cores."""
+        self.pace *= 1 - cores / self.used_cores
+        self.used_cores -= cores
+
+    def allowed_increase(self, cores: float) -> float:
+        """Return by how many percent the pace may increase.
 
-    def risen_by(self, cores: float) -> float:
-        """By how much its pace rises if it may use so many cores more."""
-        left = FULL_PACE - self.pace
-        allowed = cores / max(self.cores, 1 / _MILLIS) * FULL_PACE
-        percent = min(_RISE, left, allowed)
-        return 0 if percent < min(_LEAST_RISE, left) else percent
+        Args:
+            cores: How many more cores the task may use.
+        """
+        missing = FULL_PACE - self.pace
+        allowed = cores / max(self.full_pace_cores, 1 / _MILLIS) * FULL_PACE
+        percent = min(_MAX_INCREASE, missing, allowed)
+        return 0 if percent < min(_MIN_INCREASE, missing) else percent
 
-    def rise(self, percent: float) -> None:
-        """Let it work at so much more of its full pace."""
+    def increase(self, percent: float) -> None:
+        """Increase the pace by this many percent of full pace."""
         self.pace += percent
-        self.use += self.cores * percent / FULL_PACE
+        self.used_cores += self.full_pace_cores * percent / FULL_PACE
 
 
 @dataclass(slots=True)
-class _Beside:
-    """A keeper while the paces beside it are decided.
+class _LatencyCriticalTask:
+    """A latency-critical task while the paces beside it are computed.
 
     Attributes:
-        harms: What each filler, in their order, takes of it a core.
+        estimates: What a core of each best-effort task takes of its headroom,
+            in the order of the best-effort tasks.
     """
 
     headroom: float
-    harms: list[InterferenceEstimate]
+    estimates: list[InterferenceEstimate]
 
 
 class Pacer:
-    """Decides the fillers' paces on one worker, from its own lists."""
+    """Set the paces of the best-effort tasks on one worker."""
 
     def __init__(
         self,
         clock: Clock,
         set_pace: Callable[[Attempt, int], None],
     ) -> None:
-        """Carry decisions out with ``set_pace``."""
+        """Start without samples.
+
+        Args:
+            set_pace: Sets an attempt's pace in percent on the worker.
+        """
         self._clock = clock
         self._set_pace = set_pace
         self._load_by_task: dict[str, int] = {}
-        self._figures_at = -_FIGURE_MS
-        self._over_since: float | None = None
-        self._harms = InterferenceModel()
-        # What is not in the figures yet: tasks whose pace has just changed.
-        self._changed: set[str] = set()
+        self._sampled_at_ms = -_MIN_SAMPLE_INTERVAL_MS
+        self._over_target_since_ms: float | None = None
+        self._interference = InterferenceModel()
+        # Tasks whose pace changed so recently that no sample shows it.
+        self._changed_tasks: set[str] = set()
 
     def tick(self, attempts: Iterable[Attempt]) -> None:
-        """Look at the tails of one listing."""
-        known = list(attempts)
-        if not self._are_new(known):
+        """Compute the paces from a listing of the worker's attempts."""
+        listed = list(attempts)
+        if not self._is_new_sample(listed):
             return
-        running = [attempt for attempt in known if _is_filler(attempt)]
-        keepers = _keepers(known)
-        self._harms.observe_worker(keepers, _use(running), self._figures_at)
-        fillers = [self._filler(attempt) for attempt in running]
-        self._decide(fillers, keepers)
-        self._changed = {
-            each.attempt.task for each in fillers if self._apply(each, keepers)
+        running = [attempt for attempt in listed if _is_best_effort(attempt)]
+        samples = _latency_samples(listed)
+        self._interference.observe_worker(
+            samples, _millicores_by_image(running), self._sampled_at_ms
+        )
+        best_effort = [self._best_effort_task(attempt) for attempt in running]
+        self._update_paces(best_effort, samples)
+        self._changed_tasks = {
+            task.attempt.task
+            for task in best_effort
+            if self._apply(task, samples)
         }
 
-    def _decide(
+    def _update_paces(
         self,
-        fillers: list[_Filler],
-        keepers: list[KeeperFigure],
+        best_effort: list[_BestEffortTask],
+        samples: list[LatencySample],
     ) -> None:
-        over_ms = self._over_ms(keepers)
-        if over_ms > _STILL_MS:
-            for filler in fillers:
-                filler.pace = 0
+        over_target_ms = self._over_target_ms(samples)
+        if over_target_ms > _STOP_AFTER_MS:
+            for task in best_effort:
+                task.pace = 0
             return
-        beside = [self._beside(each, fillers) for each in keepers]
-        for keeper in beside:
-            if keeper.headroom < _LOW:
-                _cut(keeper, beside, fillers, is_in_doubt=over_ms > _DOUBT_MS)
-        _raise(beside, fillers)
-
-    def _beside(
+        latency_critical = [
+            self._latency_critical_task(sample, best_effort)
+            for sample in samples
+        ]
+        for affected in latency_critical:
+            if affected.headroom < _THROTTLING_HEADROOM:
+                _throttle(
+                    affected,
+                    latency_critical,
+                    best_effort,
+                    is_uncertain=over_target_ms > _UNCERTAIN_AFTER_MS,
+                )
+        _increase_paces(latency_critical, best_effort)
+
+    def _latency_critical_task(
         self,
-        keeper: KeeperFigure,
-        fillers: list[_Filler],
-    ) -> '_Beside':
-        """Take a keeper as it will do once the last changes show."""
-        harms = [
-            self._harms.per_core(keeper.image, each.image) for each in fillers
+        sample: LatencySample,
+        best_effort: list[_BestEffortTask],
+    ) -> '_LatencyCriticalTask':
+        """Predict a task's headroom once the last changes take effect."""
+        estimates = [
+            self._interference.per_core(sample.image, task.image)
+            for task in best_effort
         ]
-        unseen = sum(
-            harm.mean * (filler.use - filler.attempt.load / _MILLIS)
-            for harm, filler in zip(harms, fillers, strict=True)
+        unsampled = sum(
+            estimate.mean * (task.used_cores - task.attempt.load / _MILLIS)
+            for estimate, task in zip(estimates, best_effort, strict=True)
         )
-        return _Beside(keeper.headroom - unseen, harms)
+        return _LatencyCriticalTask(sample.headroom - unsampled, estimates)
 
-    def _over_ms(self, keepers: list[KeeperFigure]) -> float:
-        """For how long a tail has been over its target."""
-        if all(each.headroom >= 1 for each in keepers):
-            self._over_since = None
+    def _over_target_ms(self, samples: list[LatencySample]) -> float:
+        """Return for how long a tail latency has been over its target."""
+        if all(sample.headroom >= 1 for sample in samples):
+            self._over_target_since_ms = None
             return 0
-        if self._over_since is None:
-            self._over_since = self._figures_at
-        return self._figures_at - self._over_since
+        if self._over_target_since_ms is None:
+            self._over_target_since_ms = self._sampled_at_ms
+        return self._sampled_at_ms - self._over_target_since_ms
 
-    def _filler(self, attempt: Attempt) -> _Filler:
-        """Take a filler as it works now.
+    def _best_effort_task(self, attempt: Attempt) -> _BestEffortTask:
+        """Return a task with its current pace and use.
 
-        Its use stands in the figures, unless it is new or its pace has just
-        changed; then it uses what its pace allows.
+        The sample contains the use, unless the task is new or its pace has
+        just changed; then the use follows from the pace.
         """
-        assert attempt.facts is not None, 'only sized ones are paced'
-        cores = attempt.facts.cpu_millis / _MILLIS
-        pace = _FIRST if attempt.pace == UNKNOWN_PACE else attempt.pace
-        use = attempt.load / _MILLIS
-        if attempt.task in self._changed or not attempt.load:
-            use = cores * pace / FULL_PACE
-        return _Filler(attempt, attempt.facts.image, cores, use, pace)
-
-    def _apply(self, filler: _Filler, keepers: list[KeeperFigure]) -> bool:
-        """Set a pace if it has changed; whether it has."""
-        attempt, wanted = filler.attempt, round(filler.pace)
-        if wanted == attempt.pace:
+        assert attempt.facts is not None, (
+            'only attempts of known size are paced'
+        )
+        full_pace_cores = attempt.facts.cpu_millis / _MILLIS
+        pace = _INITIAL_PACE if attempt.pace == UNKNOWN_PACE else attempt.pace
+        used_cores = attempt.load / _MILLIS
+        if attempt.task in self._changed_tasks or not attempt.load:
+            used_cores = full_pace_cores * pace / FULL_PACE
+        return _BestEffortTask(
+            attempt, attempt.facts.image, full_pace_cores, used_cores, pace
+        )
+
+    def _apply(
+        self, task: _BestEffortTask, samples: list[LatencySample]
+    ) -> bool:
+        """Set a task's pace; return False if it is unchanged."""
+        attempt, new_pace = task.attempt, round(task.pace)
+        if new_pace == attempt.pace:
             return False
-        worst = min(keepers, key=lambda each: each.headroom, default=None)
-        harm = self._harms.per_core(worst.image if worst else '', filler.image)
+        worst = min(samples, key=lambda sample: sample.headroom, default=None)
+        estimate = self._interference.per_core(
+            worst.image if worst else '', task.image
+        )
         log_event(
             Event.TASK_PACED,
             task=attempt.task,
-            pace=wanted,
+            pace=new_pace,
             before=attempt.pace,
             keeper=worst.task if worst else '',
             tail_percent=round(FULL_PACE / worst.headroom) if worst else 0,
-            harm=round(harm.mean, 3),
-            deviation=round(harm.deviation, 3),
+            harm=round(estimate.mean, 3),
+            deviation=round(estimate.deviation, 3),
         )
-        self._set_pace(attempt, wanted)
+        self._set_pace(attempt, new_pace)
         return True
 
-    def _are_new(self, known: list[Attempt]) -> bool:
-        """Whether the figures are others than those of the last decision.
+    def _is_new_sample(self, listed: list[Attempt]) -> bool:
+        """Return whether a listing has other loads than the last sample.
 
-        A listing that comes early, as a task has ended or begun, repeats the
-        figures of the last one. Paces that moved at each were cut again for
-        one figure: 73 of 320 cuts were of paces that were below 10 already.
+        A listing that arrives early because a task has started or ended repeats
+        the last sample. Throttling on each listing acted twice on one sample:
+        73 of 320 reductions were of paces already below 10.
         """
-        now = self._clock.now()
-        loads = {each.task: each.load for each in known}
-        both = loads.keys() & self._load_by_task.keys()
-        is_same = all(loads[task] == self._load_by_task[task] for task in both)
-        if is_same and now - self._figures_at < _FIGURE_MS:
+        now_ms = self._clock.now()
+        load_by_task = {attempt.task: attempt.load for attempt in listed}
+        common_tasks = load_by_task.keys() & self._load_by_task.keys()
+        is_same = all(
+            load_by_task[task] == self._load_by_task[task]
+            for task in common_tasks
+        )
+        if is_same and now_ms - self._sampled_at_ms < _MIN_SAMPLE_INTERVAL_MS:
             return False
-        self._load_by_task = loads
-        self._figures_at = now
+        self._load_by_task = load_by_task
+        self._sampled_at_ms = now_ms
         return True
 
 
-def _cut(
-    keeper: _Beside,
-    beside: list[_Beside],
-    fillers: list[_Filler],
-    is_in_doubt: bool,
+def _throttle(
+    affected: _LatencyCriticalTask,
+    latency_critical: list[_LatencyCriticalTask],
+    best_effort: list[_BestEffortTask],
+    is_uncertain: bool,
 ) -> None:
-    """Give a keeper headroom, from those that take most of it a core.
+    """Restore a task's headroom by throttling those that take most per core.
+
+    Do nothing if the task would be over its target even without all of them:
+    then its own load is the cause.
 
-    If it would be over its target without all of them, too, none is to blame:
-    its own load is.
+    Args:
+        is_uncertain: Whether tasks are throttled by the upper bound of their
+            estimate instead of its mean.
     """
-    most = sum(
-        harm.upper_bound * filler.use
-        for harm, filler in zip(keeper.harms, fillers, strict=True)
+    most_headroom = sum(
+        interference.upper_bound * task.used_cores
+        for interference, task in zip(
+            affected.estimates, best_effort, strict=True
+        )
     )
-    if keeper.headroom + most < 1:
+    if affected.headroom + most_headroom < 1:
         return
-    blame = [
-        harm.upper_bound if is_in_doubt else harm.mean for harm in keeper.harms
+    per_core = [
+        interference.upper_bound if is_uncertain else interference.mean
+        for interference in affected.estimates
     ]
-    order = sorted(range(len(fillers)), key=blame.__getitem__, reverse=True)
-    for place in order:
-        filler, harm = fillers[place], blame[place]
-        missing = _AIM - keeper.headroom
-        if missing > 0 and harm > _BLAMELESS and filler.use > 0:
-            cores = min(filler.use, missing / harm)
-            filler.cut(cores)
-            for each in beside:
-                each.headroom += cores * each.harms[place].mean
-
-
-def _raise(beside: list[_Beside], fillers: list[_Filler]) -> None:
-    """Give fillers the headroom that is left, the harmless ones first."""
-    risks = [
-        max((each.harms[place].upper_bound for each in beside), default=0)
-        for place in range(len(fillers))
+    positions = sorted(
+        range(len(best_effort)), key=per_core.__getitem__, reverse=True
+    )
+    for position in positions:
+        task, interference = best_effort[position], per_core[position]
+        missing = _TARGET_HEADROOM - affected.headroom
+        if (
+            missing > 0
+            and interference > _NEGLIGIBLE_PER_CORE
+            and task.used_cores > 0
+        ):
+            cores = min(task.used_cores, missing / interference)
+            task.throttle(cores)
+            for other in latency_critical:
+                other.headroom += cores * other.estimates[position].mean
+
+
+def _increase_paces(
+    latency_critical: list[_LatencyCriticalTask],
+    best_effort: list[_BestEffortTask],
+) -> None:
+    """Spend the remaining headroom, on the least interfering tasks first."""
+    worst_per_core = [
+        max(
+            (task.estimates[position].upper_bound for task in latency_critical),
+            default=0,
+        )
+        for position in range(len(best_effort))
     ]
-    for place in sorted(range(len(fillers)), key=risks.__getitem__):
-        filler = fillers[place]
+    for position in sorted(
+        range(len(best_effort)), key=worst_per_core.__getitem__
+    ):
+        candidate = best_effort[position]
         cores = min(
             (
-                (each.headroom - _AIM) / each.harms[place].upper_bound
-                for each in beside
+                (task.headroom - _TARGET_HEADROOM)
+                / task.estimates[position].upper_bound
+                for task in latency_critical
             ),
-            default=filler.cores,
+            default=candidate.full_pace_cores,
         )
-        percent = filler.risen_by(cores)
+        percent = candidate.allowed_increase(cores)
         if percent > 0:
-            filler.rise(percent)
-            for each in beside:
-                taken = each.harms[place].upper_bound * filler.cores
-                each.headroom -= taken * percent / FULL_PACE
+            candidate.increase(percent)
+            for affected in latency_critical:
+                taken = (
+                    affected.estimates[position].upper_bound
+                    * candidate.full_pace_cores
+                )
+                affected.headroom -= taken * percent / FULL_PACE
 
 
-def _is_filler(attempt: Attempt) -> bool:
+def _is_best_effort(attempt: Attempt) -> bool:
     return (
         attempt.phase is Phase.RUNNING
         and attempt.facts is not None
@@ -285,24 +348,26 @@
     )
 
 
-def _keepers(attempts: list[Attempt]) -> list[KeeperFigure]:
-    """Return the keepers that have a tail, which a new one has not."""
+def _latency_samples(attempts: list[Attempt]) -> list[LatencySample]:
+    """Return the measured tail latencies; a new task has none."""
     return [
-        KeeperFigure(
-            each.task,
-            each.facts.image,
-            each.load,
-            each.facts.target_ms,
+        LatencySample(
+            attempt.task,
+            attempt.facts.image,
+            attempt.load,
+            attempt.facts.target_ms,
         )
-        for each in attempts
-        if each.facts is not None and each.facts.target_ms and each.load
+        for attempt in attempts
+        if attempt.facts is not None
+        and attempt.facts.target_ms
+        and attempt.load
     ]
 
 
-def _use(fillers: list[Attempt]) -> Counter[str]:
-    """Return the thousandths of a core that each image's fillers use."""
-    use: Counter[str] = Counter()
-    for each in fillers:
-        if each.facts is not None:
-            use[each.facts.image] += each.load
-    return use
+def _millicores_by_image(best_effort: list[Attempt]) -> Counter[str]:
+    """Return the thousandths of a core that each image's tasks use."""
+    millicores_by_image: Counter[str] = Counter()
+    for attempt in best_effort:
+        if attempt.facts is not None:
+            millicores_by_image[attempt.facts.image] += attempt.load
+    return millicores_by_image
--- a/hyssopring/jobs/placement_option.py
+++ b/hyssopring/jobs/placement_option.py
@@ -1,4 +1,4 @@
-"""One worker during a planning round, and what fits beside its keepers."""
+"""One worker's free capacity and interference during a planning round."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,60 +13,70 @@
 
 __all__ = ('NEGLIGIBLE_INTERFERENCE', 'PlacementOption')
 
-# A filler starts where at least this part of its processor time is left:
-# started earlier it would only take the time of those that run.
-_FILL_PART: Final = 0.7
-# Keepers with a target use about half of what they reserve; fillers may take
-# the rest, at the pace that the agent finds bearable.
-_KEEPER_UNUSED: Final = 0.5
-# Beside keepers no filler is added while those that are there are slowed down
-# to less than this pace, while a tail is above this part of its target, or
-# while the effect of the last one does not show yet.
+# A best-effort task starts only where at least this share of the CPU that it
+# asks for is idle; with less it would only slow the tasks that already run.
+_MIN_IDLE_CPU_SHARE: Final = 0.7
+# Latency-critical tasks use about half of the CPU that they reserve.
+# Best-effort tasks may use the rest, throttled by the agent if necessary.
+_UNUSED_RESERVATION_SHARE: Final = 0.5
+# No best-effort task is added beside latency-critical tasks while the running
+# ones are throttled below this mean pace (in percent), while a tail latency is
+# above this share of its target, or while the last one started has not been
+# measured.
 _LOW_PACE: Final = 60
-_HIGH_TAIL: Final = 0.55
-# In thousandths of a core, compared with free processor time: keepers with a
-# target are kept together, with what does not disturb them, so that fillers
-# find workers without any. A filler beside one is slowed or does harm.
-_BESIDE_TARGET: Final = 20_000
-_TARGETS_TOGETHER: Final = 20_000
-_TARGET_BESIDE_FILLER: Final = 4000
-_WRONG_RACK: Final = 4000
-# Headroom is a keeper's target as a part of its tail. A filler that surely
-# takes less than this of it may start without waiting for the last one to show.
+_HIGH_TAIL_SHARE: Final = 0.55
+# Scores are in thousandths of a core, like the idle CPU that they start from.
+# Latency-critical tasks are packed together with tasks that do not interfere,
+# which leaves workers without any to best-effort tasks. Beside a
+# latency-critical task, a best-effort task interferes or is throttled.
+_INTERFERENCE_PENALTY: Final = 20_000
+_LATENCY_CRITICAL_PACKING_BONUS: Final = 20_000
+_BEST_EFFORT_NEIGHBOR_PENALTY: Final = 4000
+_RACK_MISMATCH_PENALTY: Final = 4000
+# Headroom is the ratio of a task's latency target to its tail latency. A
+# best-effort task that takes less than this much of it, at the upper bound of
+# the estimate, may start before the last one started has been measured.
 NEGLIGIBLE_INTERFERENCE: Final = 0.35
-# So much is left to each keeper once all fillers beside it work at full pace:
-# figures move by 0.36 by chance, and by 0.3 as load swings.
-_LEAST_HEADROOM: Final = 1.2
-# A keeper that lists no tail yet is taken to be this far from its target.
-_NEW_HEADROOM: Final = 1.5
-# From here on one worker is as bad as another.
-_FULL_HARM: Final = 1.0
+# The headroom that each latency-critical task keeps once all best-effort tasks
+# beside it run at full pace. Samples vary by 0.36 at random and by 0.3 as load
+# changes.
+_MIN_HEADROOM: Final = 1.2
+# The assumed headroom of a task without a measured tail latency.
+_NEW_TASK_HEADROOM: Final = 1.5
+# Interference at and above this scores the same.
+_MAX_INTERFERENCE: Final = 1.0
 _FULL_PACE: Final = 100
 _MILLIS: Final = 1000
 
 
 @dataclass(slots=True)
 class PlacementOption:
-    """One worker and what is left of it while a round goes on.
+    """A worker and what is left of it after the round's reservations.
+
+    CPU quantities are in thousandths of a core.
 
     Attributes:
-        filling: Thousandths of a core that fillers use at their pace.
-        held_back: Thousandths of a core that they are kept from using.
-        unused: Thousandths of a core that keepers reserve and do not use.
-        is_strained: Whether fillers disturb the keepers enough already.
-        headrooms: Of each keeper, once all fillers work at full pace.
-        is_refusing: The worker has refused a start a short while ago.
+        best_effort_cpu: CPU that best-effort tasks use at their current pace.
+        throttled_cpu: CPU that throttling keeps them from using.
+        unused_cpu: CPU that latency-critical tasks reserve and do not use.
+        latency_critical_count: How many latency-critical tasks are there.
+        best_effort_count: How many best-effort tasks are there.
+        is_interference_high: Whether interference rules out one more
+            best-effort task, unless its own is negligible.
+        headrooms: The headroom of each latency-critical task once all
+            best-effort tasks run at full pace.
+        is_refusing: Whether the worker has recently refused a start.
     """
 
     worker: Worker
     free: Size
-    filling: float
-    held_back: float
-    unused: float
-    targets: int
-    fillers: int
-    is_strained: bool
-    harms: InterferenceModel
+    best_effort_cpu: float
+    throttled_cpu: float
+    unused_cpu: float
+    latency_critical_count: int
+    best_effort_count: int
+    is_interference_high: bool
+    interference: InterferenceModel
     headrooms: list[float]
     is_refusing: bool = False
 
@@ -74,140 +84,167 @@
     def from_worker(
         cls,
         worker: Worker,
-        harms: InterferenceModel,
+        interference: InterferenceModel,
         is_refusing: bool = False,
     ) -> 'PlacementOption':
-        fillers = worker.best_effort_tasks()
-        keepers = worker.latency_critical_tasks()
-        reserved = sum(placed.step.size.cpu_millis for placed in keepers)
-        filling = sum(placed.cpu_in_use for placed in fillers)
+        """Build the option from a worker's latest report."""
+        best_effort = worker.best_effort_tasks()
+        latency_critical = worker.latency_critical_tasks()
+        reserved_cpu = sum(
+            placed.step.size.cpu_millis for placed in latency_critical
+        )
+        best_effort_cpu = sum(placed.cpu_in_use for placed in best_effort)
         return cls(
             worker,
             worker.free(),
-            filling,
-            sum(placed.cpu_at_full_pace for placed in fillers) - filling,
-            reserved * _KEEPER_UNUSED,
-            len(keepers),
-            len(fillers),
-            bool(keepers) and _is_strained(fillers, keepers),
-            harms,
-            [_headroom(harms, each, fillers) for each in keepers],
+            best_effort_cpu,
+            sum(placed.cpu_at_full_pace for placed in best_effort)
+            - best_effort_cpu,
+            reserved_cpu * _UNUSED_RESERVATION_SHARE,
+            len(latency_critical),
+            len(best_effort),
+            bool(latency_critical)
+            and _is_interference_high(best_effort, latency_critical),
+            interference,
+            [
+                _headroom(interference, placed, best_effort)
+                for placed in latency_critical
+            ],
             is_refusing,
         )
 
     @property
-    def idle(self) -> float:
-        """Processor time that neither tasks nor fillers ask for."""
-        return self.free.cpu_millis + self.unused - self.filling
+    def idle_cpu(self) -> float:
+        """Return the thousandths of a core that no task asks for."""
+        return self.free.cpu_millis + self.unused_cpu - self.best_effort_cpu
 
-    def allows(self, step: Step, is_starved: bool) -> bool:
-        """Whether one more task of the step may start here."""
+    def has_capacity(self, step: Step, is_starved: bool) -> bool:
+        """Return whether one more task of the step may start here.
+
+        Args:
+            is_starved: Whether the task may start even if it interferes with
+                others.
+        """
         if not step.reserved_size.fits_in(self.free):
             return False
         if not step.fills or is_starved:
             return True
-        if not self.targets:
-            return self._has_time_for(step)
+        if not self.latency_critical_count:
+            return self._has_idle_cpu(step)
         if not self._leaves_headroom(step):
             return False
-        if self.is_strained and not self.is_harmless(step):
+        if self.is_interference_high and not self.is_interference_negligible(
+            step
+        ):
             return False
-        return self._has_time_for(step)
-
-    def is_harmless(self, step: Step) -> bool:
-        """Whether it is known that no keeper here minds a filler."""
-        return self.worst_harm(step) < NEGLIGIBLE_INTERFERENCE
-
-    def worst_harm(self, step: Step) -> float:
-        """Return the headroom that a filler may take of the keepers here."""
-        keepers = self.worker.latency_critical_tasks()
-        if len(keepers) < self.targets:
-            # One came in this round, of which nothing is known.
-            return _FULL_HARM
+        return self._has_idle_cpu(step)
+
+    def is_interference_negligible(self, step: Step) -> bool:
+        """Return whether no latency-critical task suffers from the step."""
+        return self.max_interference(step) < NEGLIGIBLE_INTERFERENCE
+
+    def max_interference(self, step: Step) -> float:
+        """Return the most headroom that a task of the step may take."""
+        latency_critical = self.worker.latency_critical_tasks()
+        if len(latency_critical) < self.latency_critical_count:
+            # One was placed in this round, and nothing is known about it.
+            return _MAX_INTERFERENCE
         return max(
             (
-                _cores(step) * self._harm(each, step).upper_bound
-                for each in keepers
+                _cores(step) * self._estimate(placed, step).upper_bound
+                for placed in latency_critical
             ),
             default=0,
         )
 
-    def _harm(self, keeper: PlacedAttempt, step: Step) -> InterferenceEstimate:
-        return self.harms.per_core(keeper.step.image, step.image)
+    def _estimate(
+        self, latency_critical: PlacedAttempt, step: Step
+    ) -> InterferenceEstimate:
+        return self.interference.per_core(
+            latency_critical.step.image, step.image
+        )
 
     def _leaves_headroom(self, step: Step) -> bool:
-        """Whether every keeper here does well beside one more filler.
+        """Return whether one more task leaves all enough headroom.
 
-        Each that is harmless by itself takes a little: ten of them beside a
-        keeper put it over its target, and were all slowed down.
+        Interference that is negligible for a single task adds up: ten such
+        tasks put a latency-critical task over its target, and were all
+        throttled.
         """
-        keepers = self.worker.latency_critical_tasks()
+        latency_critical = self.worker.latency_critical_tasks()
         return all(
-            left - _cores(step) * self._harm(keeper, step).mean
-            > _LEAST_HEADROOM
-            for left, keeper in zip(self.headrooms, keepers, strict=False)
+            headroom - _cores(step) * self._estimate(placed, step).mean
+            > _MIN_HEADROOM
+            for headroom, placed in zip(
+                self.headrooms, latency_critical, strict=False
+            )
         )
 
-    def _has_time_for(self, step: Step) -> bool:
-        """Whether a filler finds processor time here."""
-        if not self.filling and not self.targets:
+    def _has_idle_cpu(self, step: Step) -> bool:
+        """Return whether enough CPU is idle for a best-effort task."""
+        if not self.best_effort_cpu and not self.latency_critical_count:
             return True
-        return self.idle >= _FILL_PART * step.size.cpu_millis
+        return self.idle_cpu >= _MIN_IDLE_CPU_SHARE * step.size.cpu_millis
 
     def score(self, step: Step, rack: str = '') -> float:
-        """The higher, the better for one more task of the step."""
-        score = self.idle
-        if self.targets and step.fills:
-            harm = min(1, self.worst_harm(step) / _FULL_HARM)
-            # Those that are held back need all the headroom that comes. Counted
-            # as idle, their cores drew each job's first task: two of eleven
-            # workers had a third of all fillers, at a quarter of their pace.
-            score -= harm * (_BESIDE_TARGET + self.held_back)
-        elif self.targets:
-            score += _TARGETS_TOGETHER
+        """Return how well a task of the step fits; higher is better."""
+        score = self.idle_cpu
+        if self.latency_critical_count and step.fills:
+            interference = min(
+                1, self.max_interference(step) / _MAX_INTERFERENCE
+            )
+            # Throttled tasks take up any headroom that becomes free. Counting
+            # their unused CPU as idle attracted each job's first task: two of
+            # eleven workers got a third of all best-effort tasks, which ran at
+            # a quarter of their pace.
+            score -= interference * (_INTERFERENCE_PENALTY + self.throttled_cpu)
+        elif self.latency_critical_count:
+            score += _LATENCY_CRITICAL_PACKING_BONUS
         if step.target_ms:
-            score -= _TARGET_BESIDE_FILLER * self.fillers
+            score -= _BEST_EFFORT_NEIGHBOR_PENALTY * self.best_effort_count
         if rack and rack != self.worker.rack:
-            score -= _WRONG_RACK
+            score -= _RACK_MISMATCH_PENALTY
         return score
 
     def reserve(self, step: Step) -> None:
         """Count one more task of the step."""
         self.free = self.free.minus(step.reserved_size)
         if step.fills:
-            self.filling += step.size.cpu_millis
-            self.fillers += 1
-            self.is_strained = self.is_strained or bool(self.targets)
+            self.best_effort_cpu += step.size.cpu_millis
+            self.best_effort_count += 1
+            self.is_interference_high = self.is_interference_high or bool(
+                self.latency_critical_count
+            )
             self.headrooms = [
-                left - _cores(step) * self._harm(keeper, step).mean
-                for left, keeper in zip(
+                headroom - _cores(step) * self._estimate(placed, step).mean
+                for headroom, placed in zip(
                     self.headrooms,
                     self.worker.latency_critical_tasks(),
                     strict=False,
                 )
             ]
         if step.target_ms:
-            self.targets += 1
+            self.latency_critical_count += 1
 
     def has_label(self, step: Step) -> bool:
-        """Whether the worker is of the kind that the step needs."""
+        """Return whether the worker has the label that the step requires."""
         report = self.worker.report
         return not step.label or (
             report is not None and step.label in report.labels
         )
 
-    def permits(self, step: Step, name: TaskName) -> bool:
-        """Whether one more task of a step and occurrence may be here."""
+    def is_below_worker_limit(self, step: Step, task_name: TaskName) -> bool:
+        """Return whether the step's limit per worker allows one more task."""
         limit = step.max_per_worker
-        return not limit or self.count(name) < limit
+        return not limit or self.count_tasks(task_name) < limit
 
-    def count(self, name: TaskName) -> int:
-        """How many tasks of a step and occurrence are here."""
+    def count_tasks(self, task_name: TaskName) -> int:
+        """Count the tasks here of the same step and occurrence."""
         return sum(
-            each.name.job_id == name.job_id
-            and each.name.occurrence == name.occurrence
-            and each.name.step == name.step
-            for each in self.worker.placed_by_task.values()
+            placed.name.job_id == task_name.job_id
+            and placed.name.occurrence == task_name.occurrence
+            and placed.name.step == task_name.step
+            for placed in self.worker.placed_by_task.values()
         )
 
 
@@ -216,29 +253,36 @@
 
 
 def _headroom(
-    harms: InterferenceModel,
-    keeper: PlacedAttempt,
-    fillers: list[PlacedAttempt],
+    interference: InterferenceModel,
+    latency_critical: PlacedAttempt,
+    best_effort: list[PlacedAttempt],
 ) -> float:
-    """Return a keeper's headroom once all fillers work at full pace."""
-    now = _NEW_HEADROOM
-    if keeper.load:
-        now = min(MAX_HEADROOM, keeper.step.target_ms / keeper.load)
-    return now - sum(
-        (each.cpu_at_full_pace - each.cpu_in_use)
+    """Return a task's headroom once best-effort tasks run at full pace."""
+    current = _NEW_TASK_HEADROOM
+    if latency_critical.load:
+        current = min(
+            MAX_HEADROOM,
+            latency_critical.step.target_ms / latency_critical.load,
+        )
+    return current - sum(
+        (placed.cpu_at_full_pace - placed.cpu_in_use)
         / _MILLIS
-        * harms.per_core(keeper.step.image, each.step.image).mean
-        for each in fillers
+        * interference.per_core(
+            latency_critical.step.image, placed.step.image
+        ).mean
+        for placed in best_effort
     )
 
 
-def _is_strained(
-    fillers: list[PlacedAttempt], keepers: list[PlacedAttempt]
+def _is_interference_high(
+    best_effort: list[PlacedAttempt], latency_critical: list[PlacedAttempt]
 ) -> bool:
-    paces = [max(placed.pace, 0) for placed in fillers]
-    if any(not placed.has_measured_usage for placed in fillers):
+    paces = [max(placed.pace, 0) for placed in best_effort]
+    if any(not placed.has_measured_usage for placed in best_effort):
         return True
     if sum(paces) < _LOW_PACE * len(paces):
         return True
-    tails = [placed.load / placed.step.target_ms for placed in keepers]
-    return max(tails) > _HIGH_TAIL
+    tail_shares = [
+        placed.load / placed.step.target_ms for placed in latency_critical
+    ]
+    return max(tail_shares) > _HIGH_TAIL_SHARE
--- a/hyssopring/jobs/placement_round.py
+++ b/hyssopring/jobs/placement_round.py
@@ -1,4 +1,4 @@
-"""Which worker a waiting task is sent to."""
+"""The choice of a worker for each pending task of a planning round."""
 
 from collections import Counter
 from dataclasses import dataclass, replace
@@ -13,11 +13,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Kind:
-    """Tasks of one kind need the same of a worker but for their size.
+class _Requirements:
+    """What tasks require of a worker, except for their size.
 
     Attributes:
-        image: A filler's, as keepers mind some images and not others.
+        image: A best-effort task's image, else empty: interference with
+            latency-critical tasks depends on it.
     """
 
     service: str
@@ -28,68 +29,81 @@
 
 
 class PlacementRound:
-    """Chooses workers for all waiting tasks of one planning round."""
+    """Choose workers for all pending tasks of one planning round."""
 
     def __init__(
         self,
         workers: Iterable[Worker],
-        harms: InterferenceModel | None = None,
+        interference: InterferenceModel | None = None,
         refusing: Container[str] = (),
     ) -> None:
-        """Look at these workers once; what is placed is counted here.
+        """Take the free capacity of the workers once for the whole round.
 
         Args:
-            workers: Those that may get tasks.
-            harms: What is known of fillers beside keepers.
-            refusing: Agents whose workers have refused starts: they come last.
+            workers: The workers that may get tasks.
+            interference: How best-effort tasks affect latency-critical ones;
+                None if nothing has been observed.
+            refusing: IDs of agents whose workers have recently refused starts;
+                they are chosen last.
         """
-        harms = harms or InterferenceModel()
-        self._unfit_by_kind: dict[_Kind, list[Size]] = {}
+        interference = interference or InterferenceModel()
+        self._rejected_sizes: dict[_Requirements, list[Size]] = {}
         self._options_by_service: dict[str, list[PlacementOption]] = {}
         for worker in workers:
             options = self._options_by_service.setdefault(worker.service, [])
             is_refusing = worker.agent_id in refusing
             options.append(
-                PlacementOption.from_worker(worker, harms, is_refusing)
+                PlacementOption.from_worker(worker, interference, is_refusing)
             )
 
     def choose(
         self,
         service: str,
         step: Step,
-        name: TaskName,
+        task_name: TaskName,
         is_starved: bool,
-        boots: Container[str] | None = None,
+        allowed_boots: Container[str] | None = None,
     ) -> Worker | None:
-        """Return the best worker for a task, None if none has room.
+        """Return the best worker for a task, None if none has capacity.
 
-        A starved job's task starts beside others that it slows down. Where
-        ``boots`` are given only these lives of workers are looked at.
+        The task's size is reserved on the worker. The caller also adds the
+        task to the worker's table before the next call.
 
-        The task counts there from now on; it is also to be put into the
-        worker's table before the next call.
+        Args:
+            is_starved: Whether the task may start even where it interferes
+                with others.
+            allowed_boots: Incarnations of workers to choose from; None for
+                all.
         """
         image = step.image if step.fills else ''
-        kind = _Kind(service, step.label, step.fills, image, is_starved)
-        if self._is_unfit(kind, step.size):
+        requirements = _Requirements(
+            service, step.label, step.fills, image, is_starved
+        )
+        if self._is_rejected(requirements, step.size):
             return None
-        roomy = [
+        with_capacity = [
             option
-            for option in self._options(service, boots)
-            if option.allows(step, is_starved) and option.has_label(step)
+            for option in self._options(service, allowed_boots)
+            if option.has_capacity(step, is_starved) and option.has_label(step)
         ]
-        if not roomy:
-            if boots is None:
-                self._unfit_by_kind.setdefault(kind, []).append(step.size)
+        if not with_capacity:
+            if allowed_boots is None:
+                self._rejected_sizes.setdefault(requirements, []).append(
+                    step.size
+                )
             return None
-        allowed = [option for option in roomy if option.permits(step, name)]
-        if not allowed:
+        eligible = [
+            option
+            for option in with_capacity
+            if option.is_below_worker_limit(step, task_name)
+        ]
+        if not eligible:
             return None
         rack = step.rack
         if step.is_local and not rack:
-            rack = self._rack_of(service, name)
+            rack = self._rack_of(service, task_name)
         best = max(
-            allowed,
+            eligible,
             key=lambda option: (
                 not option.is_refusing,
                 option.score(step, rack),
@@ -102,39 +116,42 @@
         self,
         service: str,
         step: Step,
-        name: TaskName,
-        avoided: Container[str],
-        boots: Container[str] | None = None,
+        task_name: TaskName,
+        avoided_agents: Container[str],
+        allowed_boots: Container[str] | None = None,
     ) -> Worker | None:
-        """Return the worker on which a suspect would take the least along.
+        """Return the worker on which a suspect's crash would lose least.
 
-        It gets no other task in this round.
+        The worker gets no other task in this round.
 
         Args:
-            avoided: Agents that come last: a crash there proves nothing more.
+            avoided_agents: IDs of agents that are chosen last, because a
+                further crash there would prove nothing new.
+            allowed_boots: Incarnations of workers to choose from; None for
+                all.
         """
-        allowed = [
+        eligible = [
             option
-            for option in self._options(service, boots)
-            if option.allows(step, is_starved=True)
+            for option in self._options(service, allowed_boots)
+            if option.has_capacity(step, is_starved=True)
             and option.has_label(step)
-            and option.permits(step, name)
+            and option.is_below_worker_limit(step, task_name)
         ]
-        if not allowed:
+        if not eligible:
             return None
         best = min(
-            allowed,
+            eligible,
             key=lambda option: (
                 option.is_refusing,
-                option.worker.agent_id in avoided,
+                option.worker.agent_id in avoided_agents,
                 option.worker.exposure(),
             ),
         )
-        self.withdraw(best.worker)
+        self.exclude(best.worker)
         return best.worker
 
-    def withdraw(self, worker: Worker) -> None:
-        """Place nothing more on a worker in this round."""
+    def exclude(self, worker: Worker) -> None:
+        """Place no further tasks on a worker in this round."""
         options = self._options_by_service[worker.service]
         self._options_by_service[worker.service] = [
             option for option in options if option.worker is not worker
@@ -143,102 +160,116 @@
     def _options(
         self,
         service: str,
-        boots: Container[str] | None,
+        allowed_boots: Container[str] | None,
     ) -> list[PlacementOption]:
         options = self._options_by_service.get(service, [])
-        if boots is None:
+        if allowed_boots is None:
             return options
-        return [option for option in options if option.worker.boot in boots]
+        return [
+            option for option in options if option.worker.boot in allowed_boots
+        ]
 
-    def _is_unfit(self, kind: '_Kind', size: Size) -> bool:
-        """Whether a task that is no larger has found no room in this round.
+    def _is_rejected(self, requirements: '_Requirements', size: Size) -> bool:
+        """Return whether an equal or smaller task found no capacity before.
 
-        Room only shrinks during a round. An owner of 0.5 cores with 340 jobs
-        compared each waiting step with each of 61 full workers at each report,
-        and its agents heard nothing from it for 2 s.
+        Free capacity only shrinks during a round. Without this check, an owner
+        with 0.5 cores and 340 jobs compared every pending step with 61 full
+        workers on each report and sent nothing to its agents for 2 s.
         """
         return any(
-            smaller.fits_in(size)
-            for smaller in self._unfit_by_kind.get(kind, ())
+            rejected_size.fits_in(size)
+            for rejected_size in self._rejected_sizes.get(requirements, ())
         )
 
-    def _rack_of(self, service: str, name: TaskName) -> str:
-        """Return the rack that most tasks of a step are in."""
-        counts: Counter[str] = Counter()
+    def _rack_of(self, service: str, task_name: TaskName) -> str:
+        """Return the rack with the most tasks of a step, empty if none."""
+        count_by_rack: Counter[str] = Counter()
         for option in self._options_by_service.get(service, ()):
-            counts[option.worker.rack] += option.count(name)
-        rack, count = counts.most_common(1)[0]
+            count_by_rack[option.worker.rack] += option.count_tasks(task_name)
+        rack, count = count_by_rack.most_common(1)[0]
         return rack if count else ''
 
-    def choose_all(
+    def choose_for_gang(
         self,
         service: str,
         step: Step,
-        names: list[TaskName],
-        boots: Container[str] | None = None,
+        task_names: list[TaskName],
+        allowed_boots: Container[str] | None = None,
     ) -> list[Worker]:
-        """Return a worker for each member of a gang, or none at all.
+        """Return a worker for each member of a gang, empty if one has none.
 
-        Members that slow each other across racks go to one rack if one has
-        room for all.
+        Members that are slower across racks are placed in a single rack if one
+        has capacity for all of them.
         """
-        options = self._options(service, boots)
+        options = self._options(service, allowed_boots)
         groups = [options]
         if step.is_local:
-            by_rack: dict[str, list[PlacementOption]] = {}
+            options_by_rack: dict[str, list[PlacementOption]] = {}
             for option in options:
-                by_rack.setdefault(option.worker.rack, []).append(option)
-            groups = [*by_rack.values(), options]
+                options_by_rack.setdefault(option.worker.rack, []).append(
+                    option
+                )
+            groups = [*options_by_rack.values(), options]
         for group in groups:
-            chosen = _fit_all(group, step, names)
+            chosen = _choose_group(group, step, task_names)
             if chosen:
                 for option in chosen:
                     option.reserve(step)
                 return [option.worker for option in chosen]
         return []
 
-    def take_quiet_room(
+    def reserve_without_interference(
         self,
         service: str,
         step: Step,
-        boots: Container[str] | None = None,
+        allowed_boots: Container[str] | None = None,
     ) -> bool:
-        """Whether a filler fits beside none that minds it, and count it."""
-        for option in self._options(service, boots):
-            is_quiet = not option.targets or option.is_harmless(step)
-            if not is_quiet or not option.has_label(step):
+        """Reserve a place for a best-effort task, False if there is none.
+
+        Only workers qualify on which the task's interference with
+        latency-critical tasks is negligible.
+        """
+        for option in self._options(service, allowed_boots):
+            is_undisturbed = (
+                not option.latency_critical_count
+                or option.is_interference_negligible(step)
+            )
+            if not is_undisturbed or not option.has_label(step):
                 continue
-            if option.allows(step, is_starved=False):
+            if option.has_capacity(step, is_starved=False):
                 option.reserve(step)
                 return True
         return False
 
 
-def _fit_all(
+def _choose_group(
     options: list[PlacementOption],
     step: Step,
-    names: list[TaskName],
+    task_names: list[TaskName],
 ) -> list[PlacementOption]:
-    """Fit a gang on copies of the options; return the originals, or none."""
-    trials = [
+    """Return an option for each member of a gang, empty if one has none.
+
+    Capacity is reserved on copies, so that a failure leaves no reservations.
+    """
+    copies = [
         (option, replace(option))
         for option in options
         if option.has_label(step)
     ]
-    used: Counter[str] = Counter()
+    count_by_agent: Counter[str] = Counter()
     chosen: list[PlacementOption] = []
-    limit = step.max_per_worker or len(names)
-    while len(chosen) < len(names):
-        allowed = [
-            (not trial.is_refusing, trial.score(step), number)
-            for number, (option, trial) in enumerate(trials)
-            if trial.allows(step, is_starved=True)
-            and used[option.worker.agent_id] < limit
+    limit = step.max_per_worker or len(task_names)
+    while len(chosen) < len(task_names):
+        candidates = [
+            (not copy.is_refusing, copy.score(step), position)
+            for position, (option, copy) in enumerate(copies)
+            if copy.has_capacity(step, is_starved=True)
+            and count_by_agent[option.worker.agent_id] < limit
         ]
-        if not allowed:
+        if not candidates:
             return []
-        option, trial = trials[max(allowed)[-1]]
-        trial.reserve(step)
-        used[option.worker.agent_id] += 1
+        option, copy = copies[max(candidates)[-1]]
+        copy.reserve(step)
+        count_by_agent[option.worker.agent_id] += 1
         chosen.append(option)
     return chosen
--- a/hyssopring/jobs/planning.py
+++ b/hyssopring/jobs/planning.py
@@ -1,61 +1,67 @@
-"""Sends waiting steps to workers, in rounds."""
+"""Planning rounds that start pending tasks of the owned shards on workers."""
 
 from dataclasses import dataclass
 from typing import Any, Callable, Final, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.ticket_manager import TicketManager
-from hyssopring.jobs.job_record import JobRecord, StepRun
-from hyssopring.jobs.placement_round import PlacementRound
+from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.interference import InterferenceModel
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.messages import JobsMessage, StartOrder
 from hyssopring.jobs.model import JobState, TaskName
 from hyssopring.jobs.owned_shards import OwnedShards
+from hyssopring.jobs.placement_round import PlacementRound
 from hyssopring.jobs.shards import shard_of
-from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.jobs.task_facts import facts_of
+from hyssopring.jobs.ticket_manager import TicketManager
 from hyssopring.jobs.urgency import Urgency, urgency
 from hyssopring.logs import Event, log_event
 
 __all__ = ('Send', 'StepPlanner')
 
-# A job none of whose tasks has run for this long gets one started wherever
-# there is room, also where it slows others down: nothing waits for ever. Users
-# ask for a start within 3 s; sooner, each job in a queue adds one that harms.
+# A job that has had no running task for this long gets one task started
+# wherever there is capacity, even if the task interferes with others, so that
+# no job starves. Users expect a start within 3 s; with a shorter limit, every
+# queued job adds a task that interferes.
 _STARVED_MS: Final = 2000.0
 
-# After a round the owner plans nothing for this many times as long as the round
-# took: however long the queue, two thirds of its time are left for reports,
-# grants and callers. Without it an owner of 0.5 cores with 340 jobs after a
-# loss of power was silent to all 61 agents.
-_PLAN_REST: Final = 2
+# The pause after a planning round, as a multiple of the round's duration. It
+# leaves two thirds of the owner's time for reports, grants and callers,
+# however long the queue. Without it, an owner with 0.5 cores and 340 jobs sent
+# nothing to its 61 agents after a power failure.
+_PLANNING_BACKOFF_FACTOR: Final = 2
 
 Send = Callable[[str, JobsMessage], bool]
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _PendingStep:
     """The tasks of a step that may start now.
 
     Attributes:
-        tickets: By the lives of workers that may run them; None where any
-            worker will do.
+        indices: Indices of the tasks within the step.
+        ticket_by_boot: Tickets by the incarnation of a worker that may run
+            the tasks; None if any worker may.
     """
 
     urgency: Urgency
     record: JobRecord
     run: StepRun
     indices: set[int]
-    tickets: Mapping[str, str] | None
+    ticket_by_boot: Mapping[str, str] | None
 
-    def ticket(self, worker: Worker) -> str:
-        """Return the worker's ticket, empty where none is needed."""
-        return self.tickets[worker.boot] if self.tickets else ''
+    def ticket_for(self, worker: Worker) -> str:
+        """Return the worker's ticket, empty if the step needs none."""
+        return self.ticket_by_boot[worker.boot] if self.ticket_by_boot else ''
 
 
 class StepPlanner:
-    """Orders the starts of the owned shards' tasks."""
+    """Start the pending tasks of the owned shards.
+
+    Attributes:
+        interference: What the reports of all workers show of interference.
+    """
 
     def __init__(
         self,
@@ -66,10 +72,16 @@
         send: Send,
         may_act: Callable[[], bool],
         wall_ms: Callable[[], float],
-        advice: TicketManager,
+        ticket_manager: TicketManager,
         suspects: CrashSuspects,
     ) -> None:
-        """Order agents by ``send`` while ``may_act`` says that it may."""
+        """Plan nothing yet.
+
+        Args:
+            send: Sends a message to an agent; False if it cannot be sent.
+            may_act: Whether this owner may start tasks now.
+            wall_ms: The time of day in ms since 1970.
+        """
         self._reactor = reactor
         self._clock = clock
         self._fleet = fleet
@@ -77,31 +89,33 @@
         self._send = send
         self._may_act = may_act
         self._wall_ms = wall_ms
-        self._advice = advice
+        self._ticket_manager = ticket_manager
         self._suspects = suspects
         self.interference = InterferenceModel()
         self._is_plan_due = False
-        self._plan_at = clock.now()
+        self._next_plan_at_ms = clock.now()
 
     def schedule_planning(self) -> None:
-        """Plan once for all that happens in this turn of the reactor."""
+        """Schedule one planning round, as soon as the backoff allows."""
         if not self._is_plan_due:
             self._is_plan_due = True
-            wait_ms = max(0, self._plan_at - self._clock.now())
+            wait_ms = max(0, self._next_plan_at_ms - self._clock.now())
             self._reactor.callLater(
                 wait_ms / MILLIS_PER_SECOND,
-                self._plan_within_share,
+                self._plan_and_back_off,
             )
 
-    def _plan_within_share(self) -> None:
-        """Plan, and note when the next round may begin."""
+    def _plan_and_back_off(self) -> None:
+        """Run a planning round and set the earliest time of the next one."""
         self._is_plan_due = False
         if not self._may_act():
             return
-        begun_at = self._clock.now()
+        started_at_ms = self._clock.now()
         self._plan()
-        ended_at = self._clock.now()
-        self._plan_at = ended_at + _PLAN_REST * (ended_at - begun_at)
+        ended_at_ms = self._clock.now()
+        self._next_plan_at_ms = ended_at_ms + _PLANNING_BACKOFF_FACTOR * (
+            ended_at_ms - started_at_ms
+        )
 
     def _plan(self) -> None:
         self.interference.observe_workers(
@@ -109,217 +123,239 @@
         )
         self._suspects.check()
         wall_ms = self._wall_ms()
-        waiting = [
-            _Waiting(
+        pending_steps = [
+            _PendingStep(
                 urgency(record, run, wall_ms),
                 record,
                 run,
                 indices,
-                self._advice.permitted(record, run),
+                self._ticket_manager.valid_tickets(record, run),
             )
             for record in self._shards.live_jobs()
             for run in record.open_runs()
             if (indices := self._shards.startable(record, run))
         ]
-        if not waiting:
+        if not pending_steps:
             return
-        waiting.sort(key=lambda each: each.urgency)
-        takers = self._suspects.spared(self._shards)
+        pending_steps.sort(key=lambda pending: pending.urgency)
+        workers = self._suspects.available_workers(self._shards)
         placement = PlacementRound(
-            takers, self.interference, self._fleet.refusing()
+            workers, self.interference, self._fleet.recently_refusing()
         )
-        for each in waiting:
-            self._place(placement, each)
+        for pending in pending_steps:
+            self._place(placement, pending)
 
-    def _place(self, placement: PlacementRound, waiting: '_Waiting') -> None:
-        record, run = waiting.record, waiting.run
-        if waiting.tickets is not None:
-            self._advice.look_soon()
-            if not waiting.tickets:
+    def _place(
+        self,
+        placement: PlacementRound,
+        pending: '_PendingStep',
+    ) -> None:
+        record, run = pending.record, pending.run
+        if pending.ticket_by_boot is not None:
+            self._ticket_manager.schedule_check()
+            if not pending.ticket_by_boot:
                 return
         if run.step.is_gang:
-            self._place_gang(placement, waiting)
+            self._place_gang(placement, pending)
             return
-        names = [
+        task_names = [
             run.task(record.job.job_id, index)
-            for index in sorted(waiting.indices)
+            for index in sorted(pending.indices)
         ]
-        innocent, suspects = self._suspects.sorted_out(record, names)
+        unsuspected, suspects = self._suspects.partition(record, task_names)
         is_starved = record.idle_ms(self._clock.now()) > _STARVED_MS
-        for name in innocent:
-            if not self._place_task(placement, waiting, name, is_starved):
-                # Nor does any worker take another task of the step.
+        for task_name in unsuspected:
+            if not self._place_task(placement, pending, task_name, is_starved):
+                # No worker has capacity for the step's other tasks either.
                 break
             is_starved = False
-        # A trial takes a worker out of the round, which others could use.
+        # Trials come last: each one excludes its worker from the round.
         for suspect in suspects:
-            self._place_in_trial(placement, waiting, suspect)
+            self._place_in_trial(placement, pending, suspect)
 
     def _place_task(
         self,
         placement: PlacementRound,
-        waiting: '_Waiting',
-        name: TaskName,
+        pending: '_PendingStep',
+        task_name: TaskName,
         is_starved: bool,
     ) -> bool:
-        """Start a task; False if no worker takes one of the step now."""
-        record, task = waiting.record, str(name)
+        """Start a task; return False if no worker has capacity for it."""
+        record, task_id = pending.record, str(task_name)
         worker = placement.choose(
             record.job.queue.service,
-            waiting.run.step,
-            name,
+            pending.run.step,
+            task_name,
             is_starved,
-            waiting.tickets,
+            pending.ticket_by_boot,
         )
         if worker is None:
             return False
-        if not self._is_located(waiting, [name], [worker]):
-            worker = self._located_worker(placement, waiting, name)
+        if not self._is_location_recorded(pending, [task_name], [worker]):
+            worker = self._recorded_worker(placement, pending, task_name)
         if worker is not None:
-            number = record.next_attempt(task)
-            checkpoint = record.checkpoint_by_task.get(task, '')
-            self._start(waiting, name, worker, number, checkpoint)
+            attempt = record.next_attempt(task_id)
+            checkpoint = record.checkpoint_by_task.get(task_id, '')
+            self._start(pending, task_name, worker, attempt, checkpoint)
         return True
 
-    def _located_worker(
+    def _recorded_worker(
         self,
         placement: PlacementRound,
-        waiting: '_Waiting',
-        name: TaskName,
+        pending: '_PendingStep',
+        task_name: TaskName,
     ) -> Worker | None:
-        """Return a worker whose agent's row lists the task already.
+        """Return a worker whose agent's row already lists a keeper's task.
 
-        While the store fails no row can be written: a lasting task that has
-        ended starts again where it was.
+        No row can be written while the store fails, so a task of a keeper
+        that has ended can only restart where it ran.
         """
-        owned = self._shards.by_shard[shard_of(name.job_id)]
+        owned = self._shards.by_shard[shard_of(task_name.job_id)]
         if not owned.roster.is_failing:
             return None
         boots = owned.locations.located_on(
-            str(name), self._fleet.schedulable_workers()
+            str(task_name), self._fleet.schedulable_workers()
         )
-        if waiting.tickets is not None:
-            boots &= waiting.tickets.keys()
-        service = waiting.record.job.queue.service
+        if pending.ticket_by_boot is not None:
+            boots &= pending.ticket_by_boot.keys()
+        service = pending.record.job.queue.service
         return placement.choose(
-            service, waiting.run.step, name, is_starved=False, boots=boots
+            service,
+            pending.run.step,
+            task_name,
+            is_starved=False,
+            allowed_boots=boots,
         )
 
     def _place_in_trial(
         self,
         placement: PlacementRound,
-        waiting: '_Waiting',
-        name: TaskName,
+        pending: '_PendingStep',
+        task_name: TaskName,
     ) -> None:
-        """Start a suspect where it can take the least along, and alone."""
-        record, task = waiting.record, str(name)
-        if not self._suspects.may_begin(record, name):
+        """Start a suspect in isolation, where a crash loses least."""
+        record, task_id = pending.record, str(task_name)
+        if not self._suspects.can_begin_trial(record, task_name):
             return
         worker = placement.choose_for_trial(
             record.job.queue.service,
-            waiting.run.step,
-            name,
-            self._suspects.isolated_agents(record, name),
-            waiting.tickets,
+            pending.run.step,
+            task_name,
+            self._suspects.agents_with_isolated_crashes(record, task_name),
+            pending.ticket_by_boot,
         )
-        if worker is None or not self._is_located(waiting, [name], [worker]):
+        if worker is None or not self._is_location_recorded(
+            pending, [task_name], [worker]
+        ):
             return
-        number = record.next_attempt(task)
-        checkpoint = record.checkpoint_by_task.get(task, '')
-        self._start(waiting, name, worker, number, checkpoint, is_trial=True)
-        self._suspects.begin(record, name, number, worker.agent_id)
+        attempt = record.next_attempt(task_id)
+        checkpoint = record.checkpoint_by_task.get(task_id, '')
+        self._start(
+            pending, task_name, worker, attempt, checkpoint, is_trial=True
+        )
+        self._suspects.begin_trial(record, task_name, attempt, worker.agent_id)
 
     def _place_gang(
         self,
         placement: PlacementRound,
-        waiting: '_Waiting',
+        pending: '_PendingStep',
     ) -> None:
-        """Start all members or none: alone they would only hold room."""
-        record, run = waiting.record, waiting.run
-        if not run.is_gang_ready or len(waiting.indices) < run.step.count:
+        """Start all members of a gang or none: they only work together."""
+        record, run = pending.record, pending.run
+        if not run.is_gang_ready or len(pending.indices) < run.step.count:
             return
-        names = list(record.job.tasks(run.occurrence, run.step_index))
-        is_trial = self._suspects.needs_trial(record, names[0])
-        if is_trial and not self._suspects.may_begin(record, names[0]):
+        task_names = list(record.job.tasks(run.occurrence, run.step_index))
+        is_trial = self._suspects.needs_trial(record, task_names[0])
+        if is_trial and not self._suspects.can_begin_trial(
+            record, task_names[0]
+        ):
             return
-        workers = placement.choose_all(
+        workers = placement.choose_for_gang(
             record.job.queue.service,
             run.step,
-            names,
-            waiting.tickets,
+            task_names,
+            pending.ticket_by_boot,
         )
-        if not workers or not self._is_located(waiting, names, workers):
+        if not workers or not self._is_location_recorded(
+            pending, task_names, workers
+        ):
             return
-        number = record.next_gang_attempt(names)
-        checkpoint = record.gang_checkpoint(names)
-        for name, worker in zip(names, workers, strict=True):
-            self._start(waiting, name, worker, number, checkpoint, is_trial)
+        attempt = record.next_gang_attempt(task_names)
+        checkpoint = record.gang_checkpoint(task_names)
+        for task_name, worker in zip(task_names, workers, strict=True):
+            self._start(
+                pending, task_name, worker, attempt, checkpoint, is_trial
+            )
             if is_trial:
-                placement.withdraw(worker)
-                self._suspects.begin(record, name, number, worker.agent_id)
+                placement.exclude(worker)
+                self._suspects.begin_trial(
+                    record, task_name, attempt, worker.agent_id
+                )
 
-    def _is_located(
+    def _is_location_recorded(
         self,
-        waiting: '_Waiting',
-        names: list[TaskName],
+        pending: '_PendingStep',
+        task_names: list[TaskName],
         workers: list[Worker],
     ) -> bool:
-        """Whether the rows of the workers' agents list the tasks, if lasting.
+        """Return whether the agents' rows list the tasks of a keeper.
 
-        Else the next round starts them: a next owner would start a task again
-        that may run on an agent which it cannot reach.
+        Otherwise write the rows, so that a later round can start the tasks.
+        Without a row, the next owner could start a task a second time while
+        it still runs beside an agent that this owner cannot reach.
         """
-        if not waiting.run.step.is_keeper:
+        if not pending.run.step.is_keeper:
             return True
-        owned = self._shards.by_shard[shard_of(names[0].job_id)]
+        owned = self._shards.by_shard[shard_of(task_names[0].job_id)]
         located = [
-            owned.locations.ensure_located(worker.agent_id, [str(name)])
-            for name, worker in zip(names, workers, strict=True)
+            owned.locations.ensure_located(worker.agent_id, [str(task_name)])
+            for task_name, worker in zip(task_names, workers, strict=True)
         ]
         return all(located)
 
     def _start(
         self,
-        waiting: '_Waiting',
-        name: TaskName,
+        pending: '_PendingStep',
+        task_name: TaskName,
         worker: Worker,
-        number: int,
+        attempt: int,
         checkpoint: str,
         is_trial: bool = False,
     ) -> None:
-        record, run = waiting.record, waiting.run
-        task = str(name)
-        owned = self._shards.by_shard[shard_of(name.job_id)]
+        """Send a start to a worker's agent and record the attempt."""
+        record, run = pending.record, pending.run
+        task_id = str(task_name)
+        owned = self._shards.by_shard[shard_of(task_name.job_id)]
         order = StartOrder(
             owned.shard,
             owned.epoch,
             worker.boot,
             record.job.payload,
             checkpoint,
-            facts_of(task, number, run.step),
+            facts_of(task_id, attempt, run.step),
             worker.connection,
-            waiting.ticket(worker),
+            pending.ticket_for(worker),
             is_trial,
         )
         if not self._send(worker.agent_id, order):
             return
         worker.starts_sent += 1
-        worker.placed_by_task[task] = PlacedAttempt(
-            name,
-            number,
+        worker.placed_by_task[task_id] = PlacedAttempt(
+            task_name,
+            attempt,
             run.step,
             worker.boot,
             worker.starts_sent,
             self._clock.now(),
             checkpoint,
         )
-        run.mark_running(name.index)
+        run.mark_running(task_name.index)
         if record.state is JobState.QUEUED:
             record.state = JobState.ACTIVE
         log_event(
             Event.TASK_PLACED,
-            task=task,
-            attempt=number,
+            task=task_id,
+            attempt=attempt,
             agent=worker.agent_id,
             resumed=bool(checkpoint),
             trial=is_trial,
--- a/hyssopring/jobs/queues.py
+++ b/hyssopring/jobs/queues.py
@@ -1,4 +1,4 @@
-"""The queues in force, and which one a request is for."""
+"""The configured queues, and the lookup of the queue of a request."""
 
 from dataclasses import dataclass, field
 from typing import Iterable
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueAddress:
-    """Where jobs are handed in to a queue: a host, and paths below one."""
+    """The host and path prefix at which jobs are submitted to a queue."""
 
     host: str
     path: str
@@ -19,15 +19,17 @@
 
 @dataclass(frozen=True)
 class QueueTable:
-    """One version of all queues.
+    """All queues of one version of the configuration.
 
     Attributes:
-        max_body_bytes: Longer requests are refused.
+        max_body_bytes: Longer request bodies are rejected.
     """
 
     version: int
     max_body_bytes: int
-    _by_host: dict[str, list[QueueAddress]] = field(default_factory=dict)
+    _addresses_by_host: dict[str, list[QueueAddress]] = field(
+        default_factory=dict
+    )
 
     @classmethod
     def from_addresses(
@@ -36,18 +38,20 @@
         max_body_bytes: int,
         addresses: Iterable[QueueAddress],
     ) -> 'QueueTable':
-        """Index the queues; of two that match the longer path wins."""
+        """Index the queues by host, with the longest path prefix first."""
         table = cls(version, max_body_bytes)
         for address in addresses:
-            known = table._by_host.setdefault(address.host.lower(), [])
-            known.append(address)
-        for known in table._by_host.values():
-            known.sort(key=_path_length, reverse=True)
+            same_host = table._addresses_by_host.setdefault(
+                address.host.lower(), []
+            )
+            same_host.append(address)
+        for same_host in table._addresses_by_host.values():
+            same_host.sort(key=_path_length, reverse=True)
         return table
 
     def find(self, host: str, path: str) -> QueueAddress | None:
-        """Return the queue that a request is for."""
-        for address in self._by_host.get(host.lower(), ()):
+        """Return the queue with the longest matching path, None if none."""
+        for address in self._addresses_by_host.get(host.lower(), ()):
             if path.startswith(address.path):
                 return address
         return None
--- a/hyssopring/jobs/tickets.py
+++ b/hyssopring/jobs/tickets.py
@@ -1,66 +1,67 @@
-"""Which lives of workers may run a step, as far as the service has said."""
+"""Tickets of a step: the workers that the advice service has approved."""
 
 from dataclasses import dataclass, field
 from typing import Container, Final
 
 __all__ = ('StepTickets', 'Ticket')
 
-# A worker that has not taken a ticket is asked for again after this long, and
-# twice as long each time: a start that is turned down has its price.
-_FIRST_BAR_MS: Final = 400.0
-_MAX_BAR_MS: Final = 12_800.0
+# The pause before a worker that has rejected its ticket is queried again. It
+# doubles each time, as rejected starts are expensive.
+_INITIAL_BACKOFF_MS: Final = 400.0
+_MAX_BACKOFF_MS: Final = 12_800.0
 
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Lets tasks of a step start on a life of a worker.
+    """The permission to start tasks of a step on an incarnation of a worker.
 
     Attributes:
-        until: When it is not used any more, by the owner's clock.
+        until_ms: When the ticket is no longer used, by the owner's clock.
     """
 
     text: str
-    until: float
+    until_ms: float
 
 
 @dataclass(slots=True)
 class StepTickets:
-    """What is known of one step.
+    """The answers of the advice service for one step.
 
-    The service's answer for a life of a worker never changes: those that may
-    not run the step are not asked for again.
+    The answer for an incarnation of a worker never changes, so that denied ones
+    are not queried again. An incarnation is identified by its boot ID.
 
     Attributes:
-        approved: Lives that may run the step; their tickets run out.
-        denied: Lives that may not.
-        retry_at: Until then nothing is asked for the step.
-        followed_since: Since when all tasks before the step run or are done.
+        approved: Incarnations that may run the step; their tickets expire.
+        denied: Incarnations that may not run the step.
+        retry_at_ms: Until this time no query is sent for the step.
+        predecessors_running_since_ms: Since when all tasks of the steps before
+            this one have been running or done, None if they are not.
     """
 
     ticket_by_boot: dict[str, Ticket] = field(default_factory=dict)
     approved: set[str] = field(default_factory=set)
     denied: set[str] = field(default_factory=set)
-    retry_at: float = 0
-    followed_since: float | None = None
-    _bar_ms_by_boot: dict[str, float] = field(default_factory=dict)
-    _barred_until: dict[str, float] = field(default_factory=dict)
+    retry_at_ms: float = 0
+    predecessors_running_since_ms: float | None = None
+    _backoff_ms_by_boot: dict[str, float] = field(default_factory=dict)
+    _retry_at_ms_by_boot: dict[str, float] = field(default_factory=dict)
 
-    def lasting(self, until: float) -> dict[str, str]:
-        """Return the tickets, by boot, that are good until then."""
+    def valid_at(self, time_ms: float) -> dict[str, str]:
+        """Return the texts of the tickets that are valid at a time, by boot."""
         return {
             boot: ticket.text
             for boot, ticket in self.ticket_by_boot.items()
-            if ticket.until > until
+            if ticket.until_ms > time_ms
         }
 
-    def answered(
+    def record_answer(
         self,
-        asked: tuple[str, ...],
-        tickets: dict[str, Ticket],
+        queried: tuple[str, ...],
+        ticket_by_boot: dict[str, Ticket],
     ) -> None:
-        """Take an answer; what it says of others was not asked."""
-        for boot in asked:
-            ticket = tickets.get(boot)
+        """Record an answer; ignore incarnations that were not queried."""
+        for boot in queried:
+            ticket = ticket_by_boot.get(boot)
             if ticket is None:
                 self.approved.discard(boot)
                 self.ticket_by_boot.pop(boot, None)
@@ -69,28 +70,28 @@
                 self.approved.add(boot)
                 self.ticket_by_boot[boot] = ticket
 
-    def rejected(self, boot: str, now: float) -> None:
-        """A worker has not taken its ticket: drop it, ask again later."""
+    def record_rejection(self, boot: str, now_ms: float) -> None:
+        """Drop a ticket that its worker has rejected; retry after a backoff."""
         if self.ticket_by_boot.pop(boot, None) is None:
             return
-        bar_ms = self._bar_ms_by_boot.get(boot, _FIRST_BAR_MS)
-        self._barred_until[boot] = now + bar_ms
-        self._bar_ms_by_boot[boot] = min(2 * bar_ms, _MAX_BAR_MS)
+        backoff_ms = self._backoff_ms_by_boot.get(boot, _INITIAL_BACKOFF_MS)
+        self._retry_at_ms_by_boot[boot] = now_ms + backoff_ms
+        self._backoff_ms_by_boot[boot] = min(2 * backoff_ms, _MAX_BACKOFF_MS)
 
-    def may_ask(self, boot: str, now: float) -> bool:
-        """Whether an answer for this life would say something new."""
-        is_barred = self._barred_until.get(boot, now) > now
-        return boot not in self.denied and not is_barred
+    def can_query(self, boot: str, now_ms: float) -> bool:
+        """Return whether an incarnation is neither denied nor in backoff."""
+        is_in_backoff = self._retry_at_ms_by_boot.get(boot, now_ms) > now_ms
+        return boot not in self.denied and not is_in_backoff
 
-    def keep(self, boots: Container[str]) -> None:
-        """Forget all lives of workers but these."""
+    def retain(self, boots: Container[str]) -> None:
+        """Drop all incarnations except these."""
         self.approved = {boot for boot in self.approved if boot in boots}
         self.denied = {boot for boot in self.denied if boot in boots}
-        for table in (
+        for by_boot in (
             self.ticket_by_boot,
-            self._bar_ms_by_boot,
-            self._barred_until,
+            self._backoff_ms_by_boot,
+            self._retry_at_ms_by_boot,
         ):
-            for boot in list(table):
+            for boot in list(by_boot):
                 if boot not in boots:
-                    table.pop(boot)
+                    by_boot.pop(boot)
--- a/hyssopring/jobs/times.py
+++ b/hyssopring/jobs/times.py
@@ -1,60 +1,67 @@
-"""How long rights last, in milliseconds; one table for entries and agents."""
+"""Timeouts of leases, grants and holds, shared by entries and agents.
+
+The owner of a shard grants its agents the right to keep the shard's tasks
+running, and the agents hold the tasks on their workers. Each of these rights
+ends by itself if it is not renewed.
+"""
 
 from typing import Final
 
 __all__ = (
-    'OWNER_LEASE_MS',
+    'CAPACITY_TTL_MS',
     'CLOCK_DRIFT',
     'ENTRY_SILENT_MS',
+    'GRANT_EXPIRY_MS',
     'GRANT_MS',
-    'HOLD_MS',
     'HOLD_EXPIRY_MS',
+    'HOLD_MS',
     'LONGEST_HOLD_MS',
-    'GRANT_EXPIRY_MS',
+    'OWNER_LEASE_MS',
     'RENEW_MS',
     'REPORT_MS',
-    'CAPACITY_TTL_MS',
     'ROSTER_WAIT_MS',
 )
 
-# A worker's clock may be 2% slow; this much is added to each wait for it.
+# A worker's clock may be 2% slow. Each wait for a worker is this much longer.
 CLOCK_DRIFT: Final = 0.02
 
-# An entry shows this often that it lives; others act after three misses.
+# The interval of an entry's heartbeats; other entries take over its shards
+# after three missed ones.
 RENEW_MS: Final = 1000.0
 ENTRY_SILENT_MS: Final = 3000.0
 
-# How long an owner goes on without the store. Longer than the outages seen
-# (up to 9 s): starts go on meanwhile. A successor that reaches all agents
-# need not wait for it, as these refuse the older reign at once.
+# How long an owner continues without the store, so that starts go on meanwhile.
+# It exceeds the longest observed outage (9 s). A successor that reaches all
+# agents need not wait for it, because they refuse the older epoch at once.
 OWNER_LEASE_MS: Final = 10_000.0
 
-# An agent that hears no owner keeps tasks alive this long after its report.
-# A dead VM's tasks start elsewhere after it, so that it is as short as a
-# restart of an owner (3 s until it is missed, and 2 s) allows.
+# How long an agent keeps tasks running without an owner, from its last report.
+# The tasks of a lost VM start elsewhere after it. It is therefore as short as a
+# restart of an owner allows, which takes 3 s until it is detected, and 2 s.
 GRANT_MS: Final = 8000.0
 
-# A worker whose agent is gone keeps its tasks this long: an agent that is
-# killed is back within 5 s.
+# How long a worker keeps its tasks without its agent. A killed agent is back
+# within 5 s.
 HOLD_MS: Final = 6000.0
 
-# A worker cuts every longer hold to this. One that was set by the clock of a
+# The longest hold that a worker accepts. A hold that was set by the clock of a
 # former incarnation may last as long.
 LONGEST_HOLD_MS: Final = 10_000.0
 
-# A worker that no agent has reached for this long has nothing running.
+# A worker that no agent has reached for this long runs no task.
 HOLD_EXPIRY_MS: Final = HOLD_MS * (1 + CLOCK_DRIFT) + 200.0
 
-# A worker announces its room each 1.5 s. One that was announced longer ago may
-# have shrunk, and counts as none.
+# The age at which an announced capacity counts as none, because the worker may
+# have shrunk since then. Workers announce their capacity every 1.5 s.
 CAPACITY_TTL_MS: Final = 4000.0
 
-# An agent reports this often, and at once when something changes.
+# The interval of an agent's reports; it also reports changes at once.
 REPORT_MS: Final = 500.0
 
-# After this time without a grant an agent's tasks surely do not run.
+# An agent that has had no grant for this long runs no task.
 GRANT_EXPIRY_MS: Final = GRANT_MS * (1 + CLOCK_DRIFT) + 200.0
 
-# A new owner starts what may still run on an agent that it cannot reach
-# only when neither the agent nor the former owner can have a right left.
+# How long a new owner waits before it starts tasks that may still run beside an
+# agent which it cannot reach: until both the former owner's lease and the
+# agent's grant have expired.
 ROSTER_WAIT_MS: Final = OWNER_LEASE_MS + GRANT_EXPIRY_MS
--- a/hyssopring/jobs/urgency.py
+++ b/hyssopring/jobs/urgency.py
@@ -1,8 +1,8 @@
-"""In which order steps get workers.
+"""The order in which steps get workers.
 
-Answers the pattern of a burst of large jobs beyond what the workers can do in
-time: ordered by deadline alone, each job waits behind jobs that are late
-anyway, until all are late.
+If more large jobs arrive in a burst than the workers can complete in time,
+ordering by deadline alone makes each job wait behind jobs that are late
+anyway, until all of them are late.
 """
 
 from dataclasses import dataclass
@@ -12,23 +12,23 @@
 
 __all__ = ('Urgency', 'urgency')
 
-# A job that ends after three times its objective earns its caller nothing
-# more than one that ends much later.
-_LATEST: Final = 3
+# A job that ends after this many times its objective is worth no more to its
+# caller than one that ends much later.
+_MAX_OBJECTIVES: Final = 3
 # Keepers come before the first priority of queues, which is 0.
-_KEEPERS: Final = -1
+_KEEPER_PRIORITY: Final = -1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Urgency:
-    """Compares step runs; the smaller comes first.
+    """A sort key for step runs; the smaller one comes first.
 
     Attributes:
-        priority: The queue's.
-        lateness: 0 while the job can end in time, 1 while it can end late,
-            2 after that.
-        order: Among jobs in time the latest start that still is in time;
-            among late ones the work that is left, so that most of them end.
+        priority: The queue's priority.
+        lateness: 0 while the job can end in time, 1 while it can end before
+            ``_MAX_OBJECTIVES`` times its objective, 2 after that.
+        order: The work that remains, in core-milliseconds, so that most jobs
+            end in time; for keepers, when they were accepted.
     """
 
     priority: int
@@ -37,26 +37,30 @@
 
 
 def urgency(record: JobRecord, run: StepRun, wall_ms: float) -> Urgency:
-    """Return the urgency of a step's waiting tasks at a time of day."""
+    """Return the urgency of a step's pending tasks.
+
+    Args:
+        wall_ms: The time of day in ms since 1970.
+    """
     if run.step.is_keeper:
-        # Before all else: its users are without it until it runs again, and
-        # it is small beside what waits. By its job's age it would count as
-        # overdue, and wait behind batch tasks for as long as these come.
-        return Urgency(_KEEPERS, 0, record.accepted_ms)
+        # Keepers come first: users are without them until they run again, and
+        # they are small compared to the batch work that waits. By age they
+        # would count as overdue, and wait as long as batch tasks arrive.
+        return Urgency(_KEEPER_PRIORITY, 0, record.accepted_ms)
     priority = record.job.queue.priority
-    deadline = record.deadline(run.occurrence)
-    latest_start = (
-        deadline - record.job.critical_path_ms_by_step[run.step_index]
+    deadline_ms = record.deadline(run.occurrence)
+    latest_start_ms = (
+        deadline_ms - record.job.critical_path_ms_by_step[run.step_index]
     )
-    if wall_ms <= latest_start:
+    if wall_ms <= latest_start_ms:
         return Urgency(priority, 0, record.work_left())
-    begun = max(
+    begun_ms = max(
         record.accepted_ms,
         record.job.schedule.due_ms(run.occurrence),
     )
-    allowed = _LATEST * (deadline - begun)
-    is_over = (
+    allowed_ms = _MAX_OBJECTIVES * (deadline_ms - begun_ms)
+    is_overdue = (
         wall_ms + record.job.critical_path_ms_by_step[run.step_index]
-        > begun + allowed
+        > begun_ms + allowed_ms
     )
-    return Urgency(priority, 2 if is_over else 1, record.work_left())
+    return Urgency(priority, 2 if is_overdue else 1, record.work_left())
--- a/hyssopring/jobs/worker_crashes.py
+++ b/hyssopring/jobs/worker_crashes.py
@@ -1,4 +1,4 @@
-"""When workers' lives ended, as their agents' reports tell an owner."""
+"""Crashes of all workers, as reported by their agents."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -10,105 +10,119 @@
 
 __all__ = ('WorkerCrashes',)
 
-# Deaths this close to each other may have one cause. An agent reports each
-# half second, and its worker is looked at as often.
+# Crashes this close to each other may have a common cause. Agents report, and
+# poll their workers, every half second.
 _SAME_CAUSE_MS: Final = MILLIS_PER_SECOND
-# So many others that die at the same time make a common cause likely.
-_LEAST_OTHERS: Final = 2
-# A worker that has not answered for this long may be dead.
+# This many other crashes at the same time make a common cause likely.
+_MIN_OTHER_CRASHES: Final = 2
+# A worker that has not answered for this long may have crashed.
 _SILENT_MS: Final = MILLIS_PER_SECOND
 _RECENT_MS: Final = 20 * MILLIS_PER_SECOND
-# Deaths are frequent when more than one in so many workers has died recently.
-_WORKERS_PER_DEATH: Final = 2
-_KEPT: Final = 500
+# Crashes are frequent if more than one in this many workers crashed recently.
+_WORKERS_PER_CRASH: Final = 2
+_MAX_CRASHES: Final = 500
 
 
 @dataclass(slots=True)
-class _Death:
-    """A life that ended unannounced.
+class _WorkerCrash:
+    """An unannounced end of a worker's incarnation.
 
     Attributes:
-        at: When its worker answered last.
-        is_explained: A suspect was on trial there.
+        last_answer_at_ms: When the worker answered last.
+        is_explained: Whether the worker was running a trial of a suspect.
     """
 
     agent_id: str
-    at: float
+    last_answer_at_ms: float
     is_explained: bool
 
 
 class WorkerCrashes:
-    """Tells deaths that come alone from those of many workers at once."""
+    """Distinguish single crashes from those of many workers at once."""
 
     def __init__(self, clock: Clock, fleet: Fleet) -> None:
-        """Know of no death."""
+        """Start without crashes."""
         self._clock = clock
         self._fleet = fleet
-        self._deaths: deque[_Death] = deque(maxlen=_KEPT)
+        self._crashes: deque[_WorkerCrash] = deque(maxlen=_MAX_CRASHES)
 
     def record_report(
         self,
         worker: Worker,
         report: WorkerReport,
-        trials: Container[str],
+        trial_agents: Container[str],
     ) -> None:
-        """Compare a report with the one before, which the worker still has.
+        """Record a crash if a report shows a new incarnation.
 
         Args:
-            trials: The agents beside which a suspect is on trial.
+            worker: The worker, still with its previous report.
+            trial_agents: IDs of the agents whose workers run a trial.
         """
-        before = worker.report
-        if before is None or not before.boot or before.is_leaving:
+        previous = worker.report
+        if previous is None or not previous.boot or previous.is_leaving:
             return
-        if report.boot and report.boot != before.boot:
-            at = worker.reported_at - before.silent_ms
-            is_explained = worker.agent_id in trials
-            self._deaths.append(_Death(worker.agent_id, at, is_explained))
+        if report.boot and report.boot != previous.boot:
+            last_answer_at_ms = worker.reported_at - previous.silent_ms
+            is_explained = worker.agent_id in trial_agents
+            self._crashes.append(
+                _WorkerCrash(worker.agent_id, last_answer_at_ms, is_explained)
+            )
 
-    def explain(self, agent_id: str) -> None:
-        """A suspect was on trial when an agent's worker died last.
+    def attribute_to_trial(self, agent_id: str) -> None:
+        """Attribute the last crash of an agent's worker to a trial.
 
-        A former owner may have ordered that trial.
+        The trial may have been started by a former owner.
         """
-        for each in reversed(self._deaths):
-            if each.agent_id == agent_id:
-                each.is_explained = True
+        for crash in reversed(self._crashes):
+            if crash.agent_id == agent_id:
+                crash.is_explained = True
                 return
 
-    def is_common(self, agent_id: str, trials: Container[str]) -> bool:
-        """Whether an agent's worker died with others, of one cause at a guess.
+    def has_common_cause(
+        self, agent_id: str, trial_agents: Container[str]
+    ) -> bool:
+        """Return whether the last crash probably had a common cause.
 
-        A worker on trial is none of the others: its own suspect explains it.
+        That is, other workers crashed at the same time. Workers in a trial do
+        not count: their suspects explain their crashes.
         """
-        at = max(
-            (each.at for each in self._deaths if each.agent_id == agent_id),
+        crashed_at_ms = max(
+            (
+                crash.last_answer_at_ms
+                for crash in self._crashes
+                if crash.agent_id == agent_id
+            ),
             default=self._clock.now(),
         )
-        others = {
-            each.agent_id
-            for each in self._deaths
-            if not each.is_explained and abs(each.at - at) <= _SAME_CAUSE_MS
+        other_agents = {
+            crash.agent_id
+            for crash in self._crashes
+            if not crash.is_explained
+            and abs(crash.last_answer_at_ms - crashed_at_ms) <= _SAME_CAUSE_MS
         }
-        others.update(
+        other_agents.update(
             worker.agent_id
             for worker in self._fleet.by_agent.values()
-            if worker.agent_id not in trials and self._is_silent(worker, at)
+            if worker.agent_id not in trial_agents
+            and self._is_silent(worker, crashed_at_ms)
         )
-        others.discard(agent_id)
-        return len(others) >= _LEAST_OTHERS
+        other_agents.discard(agent_id)
+        return len(other_agents) >= _MIN_OTHER_CRASHES
 
     @property
     def are_frequent(self) -> bool:
-        """Whether workers die so often that one may well die in a trial."""
-        since = self._clock.now() - _RECENT_MS
-        recent = sum(
-            not each.is_explained and each.at >= since for each in self._deaths
+        """Return whether a crash during a trial may well be a coincidence."""
+        since_ms = self._clock.now() - _RECENT_MS
+        recent_count = sum(
+            not crash.is_explained and crash.last_answer_at_ms >= since_ms
+            for crash in self._crashes
         )
-        return recent * _WORKERS_PER_DEATH > len(self._fleet.by_agent)
+        return recent_count * _WORKERS_PER_CRASH > len(self._fleet.by_agent)
 
-    def _is_silent(self, worker: Worker, at: float) -> bool:
+    def _is_silent(self, worker: Worker, crashed_at_ms: float) -> bool:
+        """Return whether a worker fell silent at the time of a crash."""
         report = worker.report
         if report is None or report.silent_ms < _SILENT_MS:
             return False
-        heard_at = worker.reported_at - report.silent_ms
-        return abs(heard_at - at) <= _SAME_CAUSE_MS
+        last_answer_at_ms = worker.reported_at - report.silent_ms
+        return abs(last_answer_at_ms - crashed_at_ms) <= _SAME_CAUSE_MS
--- a/tests/test_crash_history.py
+++ b/tests/test_crash_history.py
@@ -15,7 +15,10 @@
     history = CrashHistory(row.failed)
     assert history.add(SUSPECT, FIRST) and history.add(SUSPECT, SECOND)
     again = ProgressRow.from_text(row.to_text())
-    assert set(CrashHistory(again.failed).of(SUSPECT)) == {FIRST, SECOND}
+    assert set(CrashHistory(again.failed).crashes_of(SUSPECT)) == {
+        FIRST,
+        SECOND,
+    }
 
 
 def test_a_crash_that_is_told_of_again_counts_once():
@@ -23,7 +26,7 @@
     history = CrashHistory({})
     assert history.add(SUSPECT, FIRST)
     assert not history.add(SUSPECT, FIRST)
-    assert len(history.of(SUSPECT)) == 1
+    assert len(history.crashes_of(SUSPECT)) == 1
 
 
 def test_a_cleared_suspect_leaves_nothing_in_the_row():
@@ -46,14 +49,14 @@
     assert set(fields) == {'state', 'done', 'failed', 'ended_ms'}
     fields['failed'].setdefault(SUSPECT, []).append(5)
     again = ProgressRow.from_text(json.dumps(fields))
-    assert CrashHistory(again.failed).of(SUSPECT) == (FIRST,)
+    assert CrashHistory(again.failed).crashes_of(SUSPECT) == (FIRST,)
 
 
 def test_a_row_without_crashes_has_none():
     """Guards against rows of the release before that cannot be read."""
     text = '{"state":"","done":{},"failed":{"0.0.1":[1,2]},"ended_ms":0}'
     history = CrashHistory(ProgressRow.from_text(text).failed)
-    assert history.is_empty and not history.of('0.0.1')
+    assert history.is_empty and not history.crashes_of('0.0.1')
 
 
 def test_entries_that_nobody_knows_are_left_alone():
--- a/tests/test_jobs_load.py
+++ b/tests/test_jobs_load.py
@@ -90,7 +90,7 @@
     harmless = replace(FILLER, size=Size(2000, 500, 0), image='mild')
     worker = worker_with('reserved', *calm, *[harmless] * 2, load=20)
     option = PlacementOption.from_worker(worker, InterferenceModel())
-    assert option.idle == 16_000 / 2 - 2 * 2000 + 500
+    assert option.idle_cpu == 16_000 / 2 - 2 * 2000 + 500
 
 
 def test_fillers_are_added_beside_keepers_one_by_one():
@@ -164,13 +164,13 @@
     workers; how many steps waited was not counted, 150 is this test's figure.
     """
     looks = []
-    allows = PlacementOption.allows
+    has_capacity = PlacementOption.has_capacity
 
     def counted(option, *given):
         looks.append(option)
-        return allows(option, *given)
+        return has_capacity(option, *given)
 
-    monkeypatch.setattr(PlacementOption, 'allows', counted)
+    monkeypatch.setattr(PlacementOption, 'has_capacity', counted)
     full = [worker_with(f'w{number}', *[KEEPER] * 5) for number in range(61)]
     placement = PlacementRound(full)
     for number in range(150):
--- a/tests/test_worker_deaths.py
+++ b/tests/test_worker_deaths.py
@@ -70,7 +70,7 @@
 def test_deaths_of_three_at_once_have_a_common_cause(told, others, is_common):
     for number in range(others + 1):
         told.tell(number, boot='second')
-    assert told.deaths.is_common('agent-0', ()) is is_common
+    assert told.deaths.has_common_cause('agent-0', ()) is is_common
 
 
 def test_those_that_are_silent_since_then_are_among_the_others(told):
@@ -79,7 +79,7 @@
     for number in (1, 2):
         told.tell(number, boot='first', silent_ms=2500)
     told.tell(0, boot='second')
-    assert told.deaths.is_common('agent-0', ())
+    assert told.deaths.has_common_cause('agent-0', ())
 
 
 def test_workers_on_trial_are_none_of_the_others(told):
@@ -87,7 +87,7 @@
     trials = {'agent-1', 'agent-2'}
     for number in (1, 2, 0):
         told.tell(number, trials, boot='second')
-    assert not told.deaths.is_common('agent-0', trials)
+    assert not told.deaths.has_common_cause('agent-0', trials)
 
 
 def test_a_planned_end_is_no_death(told):
@@ -95,7 +95,7 @@
         told.tell(number, boot='first', is_leaving=True)
         told.tell(number, boot='second')
     assert not told.deaths.are_frequent
-    assert not told.deaths.is_common('agent-7', ())
+    assert not told.deaths.has_common_cause('agent-7', ())
 
 
 def test_deaths_of_half_of_the_workers_in_a_short_time_are_frequent(told):
@@ -112,5 +112,5 @@
     """Guards against trials that make deaths look frequent after a takeover."""
     for number in range(6):
         told.tell(number, boot='second')
-    told.deaths.explain('agent-3')
+    told.deaths.attribute_to_trial('agent-3')
     assert not told.deaths.are_frequent
