--- a/tests/test_colocation_bench.py
+++ b/tests/test_colocation_bench.py
@@ -1,7 +1,7 @@
-"""Days of keepers and fillers in virtual time, and what they show.
+"""The benchmark of colocation, in virtual time and without a network.
 
-Answers the pattern of keepers that reserve most of the workers, in waves of
-load, beside more fillers than there is room for. No network.
+Latency-critical tasks with waves of load reserve most of the workers, and there
+are more best-effort tasks than capacity.
 """
 
 from twisted.internet.task import Clock
@@ -10,16 +10,16 @@
 from bench.colocation_variants import AS_IT_IS
 from hyssopring.jobs.model import Size, Step
 from hyssopring.jobs.worker_port import StartRequest
+from standins.jobs.book import Book
 from standins.jobs.interference import Interference
 from standins.jobs.shared_worker import KeeperTimes, SharedWorker
-from standins.jobs.book import Book
 
 SEED = 101
 NO_CONTROL = 'no control'
 
 
-class Site:
-    """A keeper and a filler, as a worker asks for them."""
+class Steps:
+    """The steps of a keeper and a best-effort task, as a worker needs them."""
 
     def __init__(self, interference):
         self.times = KeeperTimes()
@@ -51,7 +51,7 @@
 
 
 def worker_of(cores):
-    """A worker that runs one keeper and one filler, after a second."""
+    """Return a worker that has run one task of each step for a second."""
     reactor, book = Clock(), Book()
     interference = Interference(1)
     worker = SharedWorker(
@@ -60,7 +60,7 @@
         book,
         Size(cores * 1000, 16_000, 0),
         interference,
-        Site(interference),
+        Steps(interference),
     )
     for task in ('k.0.0.0', 'f.0.0.0'):
         start = StartRequest(worker.boot, 1, task, 1, 'x', '', 100_000)
@@ -71,12 +71,12 @@
 
 
 def run(reactor, worker, seconds):
-    for _step in range(round(seconds * 50)):
+    for _tick in range(round(seconds * 50)):
         reactor.advance(0.02)
         worker.settle()
 
 
-def test_a_filler_ends_after_its_work_at_its_pace():
+def test_best_effort_task_ends_after_its_work_at_full_pace():
     reactor, worker = worker_of(cores=32)
     assert 'f.0.0.0' in worker.runs
     run(reactor, worker, 1.1)
@@ -84,7 +84,7 @@
     assert 'k.0.0.0' in worker.runs
 
 
-def test_a_filler_that_is_held_still_ends_later():
+def test_stopped_best_effort_task_ends_later():
     reactor, worker = worker_of(cores=32)
     worker.set_pace(worker.boot, 1, 'f.0.0.0', 1, 0)
     run(reactor, worker, 2)
@@ -94,21 +94,23 @@
     assert 'f.0.0.0' not in worker.runs
 
 
-def test_a_filler_gets_only_what_keepers_leave():
+def test_best_effort_task_gets_only_unused_cpu():
     reactor, worker = worker_of(cores=8)
     run(reactor, worker, 1)
     used = worker.used_core_s
     assert 0 < used < 2 * 4
 
 
-def test_without_control_fillers_harm_keepers_and_less_is_served():
-    """Fillers start wherever memory is free, and none is ever slowed.
+def test_control_protects_latency_and_increases_the_worth():
+    """Guards against control that costs more than interference does.
 
-    Large jobs end sooner, and keepers are over their targets for minutes.
+    Without control, best-effort tasks start wherever memory is free and are
+    never throttled: large jobs end sooner, and latency-critical tasks are over
+    their targets for minutes.
     """
     scores = {name: [play(name, SEED)] for name in (AS_IT_IS, NO_CONTROL)}
-    (controlled,), (free,) = scores.values()
-    assert controlled.worth > free.worth
-    assert controlled.harmed_s < free.harmed_s / 2
+    (controlled,), (uncontrolled,) = scores.values()
+    assert controlled.worth > uncontrolled.worth
+    assert controlled.harmed_s < uncontrolled.harmed_s / 2
     assert controlled.large > 0.3
     assert len(list(table(scores))) == 4
--- a/tests/test_jobs_advice.py
+++ b/tests/test_jobs_advice.py
@@ -1,7 +1,7 @@
-"""Queues whose steps may run on some workers only, and a service knows which.
+"""Queues whose steps may only run on workers that a service approves.
 
-The stand-in workers turn a start down whose ticket is missing, void, for
-another step or for another life; each such start is counted.
+The stand-in workers reject starts whose ticket is missing, void, for another
+step or for another incarnation; each such start is counted.
 """
 
 from dataclasses import replace
@@ -11,25 +11,25 @@
 from hyssopring.jobs.model import AdviceTiming, JobState, Schedule, Size
 from standins.jobs.deployment import WALL_MS, a_job, settled, starts_of
 
-ADVICE = AdviceTiming(50, 5, 3000)
+TIMING = AdviceTiming(50, 5, 3000)
 
 
 def advised_job(number=1, **changes):
-    """A job of a queue with advice."""
+    """Return a job of a queue that needs approval."""
     job = a_job(number, **changes)
-    return replace(job, queue=replace(job.queue, advice=ADVICE))
+    return replace(job, queue=replace(job.queue, advice=TIMING))
 
 
 def only(*names):
-    """Let only these workers run anything."""
+    """Approve only these workers, for any step."""
     return lambda step, worker: worker in names
 
 
-def places_of(deployment, job):
+def workers_of(deployment, job):
     return {row[1] for row in starts_of(deployment, job)}
 
 
-def asked_since(deployment, since, step=''):
+def queries_since(deployment, since, step=''):
     return [
         row
         for row in deployment.advice.questions
@@ -37,7 +37,7 @@
     ]
 
 
-def test_tasks_start_only_where_they_may_and_no_start_is_turned_down():
+def test_tasks_start_only_on_approved_workers_and_no_start_is_rejected():
     deployment = settled(workers=6)
     deployment.advice.allows = only('worker-2', 'worker-4')
     job = advised_job(steps=((6, ()), (4, (0,))))
@@ -45,11 +45,11 @@
     deployment.run(6)
     assert outcomes[0].is_ok()
     assert deployment.state(job.job_id) is JobState.COMPLETED
-    assert places_of(deployment, job) <= {'worker-2', 'worker-4'}
+    assert workers_of(deployment, job) <= {'worker-2', 'worker-4'}
     assert not deployment.advice.rejected_starts
 
 
-def test_a_queue_without_advice_asks_nothing_and_orders_without_tickets():
+def test_queue_without_advice_sends_no_queries_and_needs_no_tickets():
     deployment = settled()
     job = a_job()
     deployment.submit(job)
@@ -58,26 +58,28 @@
     assert not deployment.advice.questions
 
 
-def test_a_step_is_asked_for_at_once_and_once_for_all_its_tasks():
+def test_step_is_queried_at_once_and_once_for_all_its_tasks():
     deployment = settled(workers=4)
-    handed_in = deployment.reactor.seconds()
+    submitted_at = deployment.reactor.seconds()
     job = advised_job(steps=((8, ()),))
     deployment.submit(job)
     deployment.run(1)
     assert len(deployment.advice.questions) == 1
     assert deployment.advice.questions[0][2].step == f'{job.job_id}.0.0'
-    assert deployment.advice.questions[0][0] - handed_in < 0.1
-    assert min(row[0] for row in starts_of(deployment, job)) - handed_in < 0.2
+    assert deployment.advice.questions[0][0] - submitted_at < 0.1
+    assert (
+        min(row[0] for row in starts_of(deployment, job)) - submitted_at < 0.2
+    )
 
 
-def test_a_later_step_is_asked_for_before_its_turn():
-    """Its first start comes as soon after the step before as without advice."""
+def test_later_step_is_queried_before_it_is_ready():
+    """Guards against a query that delays the first start of a later step."""
     deployment = settled(work_ms=lambda task: 2000)
     job = advised_job(steps=((2, ()), (2, (0,))))
     deployment.submit(job)
     deployment.run(6)
     second = f'{job.job_id}.0.1'
-    asked_at = asked_since(deployment, 0, second)[0][0]
+    asked_at = queries_since(deployment, 0, second)[0][0]
     first_ends = [end[0] for end in deployment.book.ends if '.0.0.' in end[1]]
     starts = [row[0] for row in starts_of(deployment, job) if second in row[2]]
     assert asked_at < min(first_ends)
@@ -85,7 +87,7 @@
     assert not deployment.advice.rejected_starts
 
 
-def test_one_question_at_a_time_and_only_of_the_owner():
+def test_only_the_owner_sends_queries_and_one_at_a_time():
     deployment = settled(workers=8)
     owner = deployment.owner
     deployment.advice.decision_ms = 200
@@ -100,7 +102,7 @@
     )
 
 
-def test_the_most_urgent_step_is_asked_for_first():
+def test_most_urgent_step_is_queried_first():
     deployment = settled()
     deployment.advice.decision_ms = 500
     jobs = [advised_job(number) for number in (1, 2, 3)]
@@ -117,24 +119,24 @@
     assert steps.index(f'{jobs[2].job_id}.0.0') == 1
 
 
-def test_few_are_asked_first_and_steps_ask_for_different_ones():
-    """Fifty workers with room: each step names a few, not the same few."""
+def test_first_queries_name_few_workers_and_different_ones_per_step():
+    """Guards against queries of all steps for the same few of fifty workers."""
     deployment = settled(workers=50)
     deployment.advice.decision_ms = 10
     for number in range(1, 7):
         deployment.submit(advised_job(number, steps=((1, ()),)))
     deployment.run(3)
-    first = {}
-    for _time, _asker, question in deployment.advice.questions:
-        first.setdefault(question.step, set(question.boots))
-    assert len(first) == 6
-    assert all(len(boots) <= 8 for boots in first.values())
-    assert len(set().union(*first.values())) > 12
+    first_boots_by_step = {}
+    for _time, _asker, query in deployment.advice.questions:
+        first_boots_by_step.setdefault(query.step, set(query.boots))
+    assert len(first_boots_by_step) == 6
+    assert all(len(boots) <= 8 for boots in first_boots_by_step.values())
+    assert len(set().union(*first_boots_by_step.values())) > 12
 
 
 @pytest.mark.parametrize('fault', ['refuses', 'is_silent'])
-def test_the_service_is_away_for_seconds_and_comes_back(fault):
-    """Nothing starts meanwhile, the questions are few, then all goes on."""
+def test_service_is_unavailable_for_seconds(fault):
+    """Guards against frequent queries meanwhile, and against none later."""
     deployment = settled()
     setattr(deployment.advice, fault, 503 if fault == 'refuses' else True)
     job = advised_job()
@@ -151,7 +153,7 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_a_service_that_turns_questions_away_is_asked_less_and_less():
+def test_queries_that_are_refused_are_repeated_with_backoff():
     deployment = settled()
     deployment.advice.refuses = 429
     job = advised_job()
@@ -165,7 +167,7 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_a_service_slower_than_it_should_be_is_still_waited_for():
+def test_answer_within_the_timeout_is_used():
     deployment = settled()
     deployment.advice.late_s = 0.5
     job = advised_job()
@@ -175,8 +177,8 @@
     assert not deployment.advice.rejected_starts
 
 
-def test_an_answer_that_comes_too_late_is_no_answer():
-    """Its question is given up; the next one starts the job."""
+def test_answer_after_the_timeout_is_ignored():
+    """Guards against waiting for a query that has timed out."""
     deployment = settled()
     deployment.advice.late_s = 2.5
     job = advised_job()
@@ -189,40 +191,40 @@
     assert not deployment.advice.rejected_starts
 
 
-def test_the_next_owner_asks_anew():
-    """Tickets are kept by the owner only, and lost with it."""
+def test_next_owner_queries_again():
+    """Guards against a next owner that starts nothing for lack of tickets."""
     deployment = settled(work_ms=lambda task: 1500)
-    first = deployment.owner
+    first_owner = deployment.owner
     deployment.advice.allows = only('worker-1')
     job = advised_job(steps=((20, ()), (2, (0,))))
     deployment.submit(
-        job, next(each for each in deployment.entries if each != first)
+        job, next(entry for entry in deployment.entries if entry != first_owner)
     )
     deployment.run(1)
-    deployment.kill_entry(first)
+    deployment.kill_entry(first_owner)
     killed_at = deployment.reactor.seconds()
     deployment.run(25)
-    assert deployment.owner != first
-    askers = {row[1] for row in asked_since(deployment, killed_at)}
+    assert deployment.owner != first_owner
+    askers = {row[1] for row in queries_since(deployment, killed_at)}
     assert askers == {deployment.owner}
-    alive = deployment.owner
-    assert deployment.state(job.job_id, alive) is JobState.COMPLETED
-    assert places_of(deployment, job) == {'worker-1'}
+    next_owner = deployment.owner
+    assert deployment.state(job.job_id, next_owner) is JobState.COMPLETED
+    assert workers_of(deployment, job) == {'worker-1'}
     assert not deployment.advice.rejected_starts
 
 
-def test_a_worker_s_new_life_is_asked_for_anew():
-    """A ticket is for one life: the next one's starts need another."""
+def test_new_incarnation_of_a_worker_is_queried_again():
+    """Guards against using a ticket for another incarnation."""
     deployment = settled(workers=1)
     job = advised_job(steps=((3, ()),))
-    keeps = advised_job(2, steps=((1, ()),), is_keeper=True)
+    keeper = advised_job(2, steps=((1, ()),), is_keeper=True)
     deployment.submit(job)
-    deployment.submit(keeps)
+    deployment.submit(keeper)
     deployment.run(0.6)
     deployment.workers[0].crash()
     deployment.run(25)
     assert deployment.state(job.job_id) is JobState.COMPLETED
-    assert len(starts_of(deployment, keeps)) >= 2
+    assert len(starts_of(deployment, keeper)) >= 2
     boots = {
         boot for row in deployment.advice.questions for boot in row[2].boots
     }
@@ -230,7 +232,7 @@
     assert not deployment.advice.rejected_starts
 
 
-def test_an_answer_that_names_a_former_life_changes_nothing():
+def test_answer_that_names_a_former_incarnation_is_ignored():
     deployment = settled(workers=2)
     deployment.workers[0].crash()
     deployment.run(3)
@@ -242,8 +244,8 @@
     assert not deployment.advice.rejected_starts
 
 
-def test_tickets_that_run_out_while_tasks_wait_are_renewed():
-    """Two tasks at a time go on one worker; the tickets last 3 s."""
+def test_tickets_that_expire_while_tasks_wait_are_renewed():
+    """The worker has capacity for two tasks; the tickets are valid for 3 s."""
     deployment = settled(workers=1, work_ms=lambda task: 2000)
     deployment.workers[0].room = Size(2000, 64_000, 0)
     deployment.run(3)
@@ -258,7 +260,7 @@
     assert starts[-1] - starts[0] < 8.6
 
 
-def test_a_ticket_that_is_not_taken_is_dropped_and_no_busy_loop_follows():
+def test_rejected_ticket_is_dropped_and_queried_again_with_backoff():
     deployment = settled(workers=2)
     deployment.advice.voids = True
     job = advised_job()
@@ -278,39 +280,39 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_a_step_that_one_of_many_workers_may_run_finds_it():
+def test_the_only_approved_worker_of_many_is_found():
     deployment = settled(workers=40)
     deployment.advice.allows = only('worker-33')
     job = advised_job(steps=((2, ()),))
     deployment.submit(job)
     deployment.run(5)
     assert deployment.state(job.job_id) is JobState.COMPLETED
-    assert places_of(deployment, job) == {'worker-33'}
+    assert workers_of(deployment, job) == {'worker-33'}
     assert len(deployment.advice.questions) <= 6
 
 
-def test_a_step_that_no_worker_may_run_waits_and_holds_nobody_up():
+def test_step_without_approved_worker_waits_and_delays_no_other():
     deployment = settled(workers=10)
-    hopeless, other = advised_job(1), advised_job(2)
+    unapproved, other = advised_job(1), advised_job(2)
     service = deployment.advice
-    service.allows = lambda step, worker: not step.startswith(hopeless.job_id)
-    deployment.submit(hopeless)
+    service.allows = lambda step, worker: not step.startswith(unapproved.job_id)
+    deployment.submit(unapproved)
     deployment.submit(other)
     deployment.run(5)
-    asked = len(service.questions)
+    query_count = len(service.questions)
     deployment.run(20)
-    assert len(service.questions) == asked
+    assert len(service.questions) == query_count
     assert deployment.state(other.job_id) is JobState.COMPLETED
-    assert deployment.state(hopeless.job_id) is JobState.QUEUED
+    assert deployment.state(unapproved.job_id) is JobState.QUEUED
     service.allows = lambda step, worker: True
     deployment.add_vm('new')
     deployment.run(6)
-    assert deployment.state(hopeless.job_id) is JobState.COMPLETED
-    assert places_of(deployment, hopeless) == {'worker-new'}
+    assert deployment.state(unapproved.job_id) is JobState.COMPLETED
+    assert workers_of(deployment, unapproved) == {'worker-new'}
 
 
-def test_a_gang_starts_only_when_enough_workers_are_known_to_do():
-    """Four members of four cores and one a worker: all four or none."""
+def test_gang_starts_only_when_enough_workers_are_approved():
+    """Four members run on one worker each: all four or none."""
     deployment = settled(workers=12)
     deployment.advice.allows = only(
         'worker-1', 'worker-5', 'worker-8', 'worker-11'
@@ -322,24 +324,24 @@
     assert len(starts) == 4
     assert len({row[3] for row in starts}) == 1
     assert max(row[0] for row in starts) - min(row[0] for row in starts) < 0.1
-    assert len(places_of(deployment, job)) == 4
+    assert len(workers_of(deployment, job)) == 4
     assert not deployment.advice.rejected_starts
 
 
-def test_a_gang_that_too_few_workers_may_run_does_not_start():
+def test_gang_with_too_few_approved_workers_does_not_start():
     deployment = settled(workers=6)
     deployment.advice.allows = only('worker-1', 'worker-5')
     job = advised_job(steps=((4, ()),), is_gang=True, max_per_worker=1)
     deployment.submit(job)
     deployment.run(8)
     assert not starts_of(deployment, job)
-    asked = {
+    queried = {
         boot for row in deployment.advice.questions for boot in row[2].boots
     }
-    assert len(asked) == 6
+    assert len(queried) == 6
 
 
-def test_each_occurrence_is_asked_for_under_its_own_name():
+def test_each_occurrence_is_queried_under_its_own_name():
     deployment = settled()
     job = replace(
         advised_job(steps=((1, ()),)),
@@ -352,7 +354,7 @@
     assert steps == {f'{job.job_id}.0.0', f'{job.job_id}.1.0'}
 
 
-def test_a_cancelled_job_s_step_is_not_asked_for_any_more():
+def test_step_of_a_cancelled_job_is_not_queried():
     deployment = settled()
     deployment.advice.decision_ms = 800
     job = advised_job()
@@ -366,20 +368,20 @@
     assert len(deployment.advice.questions) == 1
 
 
-def test_keepers_apart_from_each_other_get_further_workers():
-    """Approved workers that hold as many as they may do not count.
+def test_approved_workers_at_their_limit_do_not_count():
+    """Guards against valid tickets that cannot be used preventing a query.
 
-    The tickets last for a minute: those of the seven others must not keep the
-    owner from asking for the eighth worker's new life.
+    The tickets are valid for a minute. Seven workers are approved and have
+    reached the limit; the eighth worker's new incarnation has to be queried.
     """
     deployment = settled(workers=8, work_ms=lambda task: 60_000)
     deployment.advice.valid_ms = 60_000
     job = a_job(steps=((8, ()),), is_keeper=True, max_per_worker=1)
-    lasting = replace(ADVICE, valid_ms=60_000)
-    job = replace(job, queue=replace(job.queue, advice=lasting))
+    timing = replace(TIMING, valid_ms=60_000)
+    job = replace(job, queue=replace(job.queue, advice=timing))
     deployment.submit(job)
     deployment.run(4)
-    assert len(places_of(deployment, job)) == 8
+    assert len(workers_of(deployment, job)) == 8
     deployment.workers[3].crash()
     deployment.run(16)
     assert all(len(worker.runs) == 1 for worker in deployment.workers)
--- a/tests/test_jobs_crashing.py
+++ b/tests/test_jobs_crashing.py
@@ -1,7 +1,7 @@
 """Tasks whose start crashes the worker, in virtual time.
 
-The workers' book asserts all the while that no such task starts a third time
-after three workers have crashed under it.
+The stand-in workers also assert that no such task starts a third time after
+three workers have crashed under it.
 """
 
 import random
@@ -13,15 +13,15 @@
 
 WORKERS = 6
 CRASHING = 1
-INNOCENT = 2
+OTHER = 2
 WORK_MS = 1500
-MOST_STARTS = 5
+MAX_STARTS = 5
 LONG_MS = 20_000
-FOREVER_MS = 1e9
+KEEPER_MS = 1e9
 
 
 def crashing(workers=WORKERS, kills=None, **options):
-    """A deployment on which some tasks of the first job crash their worker."""
+    """Return a deployment where some tasks of the first job crash workers."""
     options.setdefault('work_ms', lambda task: WORK_MS)
     deployment = settled(Deployment(workers=workers, **options))
     for worker in deployment.workers:
@@ -30,7 +30,7 @@
 
 
 def submitted(**options):
-    """Such a deployment, and the first job handed in to it."""
+    """Return such a deployment, and the first job, submitted to it."""
     deployment = crashing(**options)
     job = a_job(CRASHING)
     deployment.submit(job)
@@ -49,50 +49,50 @@
     return [row for row in deployment.book.starts if is_first(row[2])]
 
 
-def kill_count(deployment):
+def crash_count(deployment):
     return sum(map(len, deployment.book.kills.values()))
 
 
-def run_until_kills(deployment, count):
-    """Go on until so many workers have crashed under the first task."""
-    for _each in range(6000):
-        if kill_count(deployment) >= count:
+def run_until_crashes(deployment, count):
+    """Run until this many workers have crashed under the first task."""
+    for _attempt in range(6000):
+        if crash_count(deployment) >= count:
             return
         deployment.run(0.01)
-    raise AssertionError('it does not crash its workers any more')
+    raise AssertionError('the task crashes no more workers')
 
 
-def any_state(deployment, job):
+def state_of(deployment, job):
     return deployment.state(job.job_id, deployment.owner)
 
 
-def assert_given_up(deployment, job):
-    assert any_state(deployment, job) is JobState.FAILED
-    assert len(starts_of_first(deployment)) <= MOST_STARTS
+def assert_failed(deployment, job):
+    assert state_of(deployment, job) is JobState.FAILED
+    assert len(starts_of_first(deployment)) <= MAX_STARTS
 
 
-def test_a_task_that_crashes_its_workers_is_given_up():
-    """Guards against starts without end of a task that crashes workers."""
+def test_job_fails_if_its_task_crashes_workers():
+    """Guards against endless starts of a task that crashes workers."""
     deployment = crashing()
-    job, innocent = a_job(CRASHING), a_job(INNOCENT, steps=((12, ()),))
+    job, other = a_job(CRASHING), a_job(OTHER, steps=((12, ()),))
     deployment.submit(job)
-    deployment.submit(innocent)
+    deployment.submit(other)
     deployment.run(40)
-    assert_given_up(deployment, job)
-    assert deployment.state(innocent.job_id) is JobState.COMPLETED
+    assert_failed(deployment, job)
+    assert deployment.state(other.job_id) is JobState.COMPLETED
     assert len(starts_of_first(deployment)) >= 3
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_no_innocent_job_fails_however_often_workers_are_lost(seed):
-    """Guards against passengers of crashes being taken for their cause."""
-    chances = random.Random(seed)
-    works = {}
+def test_no_other_job_fails_however_often_workers_are_lost(seed):
+    """Guards against failing jobs that merely ran on crashed workers."""
+    random_source = random.Random(seed)
+    work_ms_by_task = {}
     deployment = settled(
         Deployment(
             workers=8,
-            work_ms=lambda task: works.setdefault(
-                task, chances.choice([200, 800, 2500])
+            work_ms=lambda task: work_ms_by_task.setdefault(
+                task, random_source.choice([200, 800, 2500])
             ),
         )
     )
@@ -100,18 +100,18 @@
     for number in range(1, 31):
         jobs.append(a_job(number, steps=((6, ()),)))
         deployment.submit(jobs[-1])
-        deployment.run(chances.uniform(0.1, 1.2))
-        if chances.random() < 0.6:
-            count = chances.choice([1, 1, 2, 3, 4])
-            for worker in chances.sample(deployment.workers, count):
-                worker.go_down(chances.uniform(1, 4))
+        deployment.run(random_source.uniform(0.1, 1.2))
+        if random_source.random() < 0.6:
+            count = random_source.choice([1, 1, 2, 3, 4])
+            for worker in random_source.sample(deployment.workers, count):
+                worker.go_down(random_source.uniform(1, 4))
     deployment.run(40)
-    states = {any_state(deployment, job) for job in jobs}
+    states = {state_of(deployment, job) for job in jobs}
     assert states == {JobState.COMPLETED}
 
 
-def test_a_row_of_crashes_of_half_of_the_workers_fails_no_job():
-    """Guards against waves of crashes that hit tasks just started."""
+def test_repeated_crashes_of_half_of_the_workers_fail_no_job():
+    """Guards against waves of crashes that hit tasks which just started."""
     deployment = settled(Deployment(workers=8, work_ms=lambda task: 20_000))
     job = a_job(steps=((40, ()),))
     deployment.submit(job)
@@ -121,51 +121,51 @@
             worker.go_down(1)
         deployment.run(2.7)
     deployment.run(60)
-    assert any_state(deployment, job) is JobState.COMPLETED
+    assert state_of(deployment, job) is JobState.COMPLETED
 
 
-def test_the_count_survives_two_takeovers_in_a_row():
-    """Guards against a count of crashes that dies with the owner."""
+def test_crash_count_survives_two_takeovers_in_a_row():
+    """Guards against a count of crashes that is lost with the owner."""
     deployment, job = submitted()
     for count in (2, 3):
-        run_until_kills(deployment, count)
+        run_until_crashes(deployment, count)
         name = deployment.owner
         deployment.kill_entry(name)
         deployment.reactor.callLater(2, deployment.start_entry, name)
         deployment.run(12)
     deployment.run(30)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_the_count_survives_a_restart_of_all_entries():
-    """Guards against a count that is kept in the entries alone."""
+def test_crash_count_survives_a_restart_of_all_entries():
+    """Guards against a count that is kept only in the entries' memory."""
     deployment, job = submitted()
-    run_until_kills(deployment, 2)
+    run_until_crashes(deployment, 2)
     deployment.run(4)
     for name in deployment.entries:
         deployment.kill_entry(name)
         deployment.reactor.callLater(2, deployment.start_entry, name)
     deployment.run(60)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_the_count_goes_on_while_the_store_is_away():
-    """Guards against starts without end while no count can be stored."""
+def test_crashes_are_counted_while_the_store_is_unavailable():
+    """Guards against endless starts while no count can be stored."""
     deployment, job = submitted()
-    run_until_kills(deployment, 1)
+    run_until_crashes(deployment, 1)
     deployment.rows.is_down = True
     deployment.run(8)
     deployment.rows.is_down = False
     deployment.run(30)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_a_crash_that_its_agent_did_not_outlive_counts_for_nothing():
-    """Guards against a loss of power being taken for a task's doing."""
+def test_crash_together_with_the_agent_is_not_counted():
+    """Guards against attributing a loss of power to a task."""
     deployment = settled(Deployment(workers=4, work_ms=lambda task: 9000))
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
-    for _each in range(5):
+    for _attempt in range(5):
         deployment.run(1)
         for name in ('agent-0', 'agent-1'):
             worker = deployment.agents[name].worker
@@ -176,13 +176,13 @@
             )
         deployment.run(9)
     deployment.run(40)
-    assert any_state(deployment, job) is JobState.COMPLETED
+    assert state_of(deployment, job) is JobState.COMPLETED
 
 
-def test_a_task_is_given_up_although_an_agent_dies_after_a_crash():
-    """Guards against the loss of one report making the starts endless."""
+def test_job_fails_although_an_agent_is_lost_after_a_crash():
+    """Guards against endless starts after the loss of one report."""
     deployment, job = submitted()
-    run_until_kills(deployment, 2)
+    run_until_crashes(deployment, 2)
     number = next(
         number
         for number, worker in enumerate(deployment.workers)
@@ -192,59 +192,59 @@
     deployment.kill_agent(name)
     deployment.start_agent(name, deployment.workers[number])
     deployment.run(60)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_a_step_all_of_whose_tasks_crash_workers_is_given_up():
-    """Guards against crashes of one step that hide each other."""
+def test_job_fails_if_all_tasks_of_a_step_crash_workers():
+    """Guards against simultaneous crashes taken for a common cause."""
     deployment = crashing(workers=11, kills=is_crashing)
     job = a_job(CRASHING, steps=((6, ()),))
     deployment.submit(job)
     deployment.run(60)
-    assert any_state(deployment, job) is JobState.FAILED
+    assert state_of(deployment, job) is JobState.FAILED
 
 
-def test_a_gang_one_of_whose_members_crashes_its_worker_is_given_up():
-    """Guards against a gang that is started without end for one member."""
+def test_job_fails_if_a_member_of_its_gang_crashes_workers():
+    """Guards against endless starts of a gang because of one member."""
     deployment = crashing(work_ms=lambda task: LONG_MS)
     job = a_job(CRASHING, steps=((3, ()),), is_gang=True)
     deployment.submit(job)
     deployment.run(60)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_a_keeper_that_crashes_its_workers_is_given_up():
-    """Guards against a task without end that takes all others down."""
-    deployment = crashing(work_ms=lambda task: FOREVER_MS)
+def test_job_fails_if_its_keeper_crashes_workers():
+    """Guards against a keeper that ends all other tasks again and again."""
+    deployment = crashing(work_ms=lambda task: KEEPER_MS)
     job = a_job(CRASHING, steps=((2, ()),), is_keeper=True)
     deployment.submit(job)
     deployment.run(60)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_a_task_is_given_up_where_there_is_one_worker_only():
-    """Guards against proof that needs a second worker where there is none."""
+def test_job_fails_if_there_is_only_one_worker():
+    """Guards against a proof that needs a second worker."""
     deployment, job = submitted(workers=1)
     deployment.run(60)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
 
 
-def test_a_suspect_keeps_away_from_keepers():
-    """Guards against trials that take keepers down."""
+def test_suspect_is_not_tried_beside_keepers():
+    """Guards against trials that crash workers with keepers."""
     deployment = crashing(work_ms=work_of_keepers)
-    keepers = a_job(INNOCENT, steps=((4, ()),), is_keeper=True)
+    keepers = a_job(OTHER, steps=((4, ()),), is_keeper=True)
     deployment.submit(keepers)
     deployment.run(2)
     job = a_job(CRASHING)
     deployment.submit(job)
-    run_until_kills(deployment, 1)
-    before = losses(deployment, keepers)
+    run_until_crashes(deployment, 1)
+    before = crash_losses(deployment, keepers)
     deployment.run(40)
-    assert_given_up(deployment, job)
-    assert losses(deployment, keepers) == before
+    assert_failed(deployment, job)
+    assert crash_losses(deployment, keepers) == before
 
 
-def losses(deployment, job):
+def crash_losses(deployment, job):
     return sum(
         end[1].startswith(job.job_id) and end[3] == 'crash'
         for end in deployment.book.ends
@@ -252,11 +252,11 @@
 
 
 def work_of_keepers(task):
-    return WORK_MS if is_crashing(task) else FOREVER_MS
+    return WORK_MS if is_crashing(task) else KEEPER_MS
 
 
-def test_after_a_second_of_work_a_crash_makes_no_suspect():
-    """Guards against a trial for each of the many that run on a worker."""
+def test_crash_suspects_no_task_that_has_run_for_a_second():
+    """Guards against a trial of each task that ran on a crashed worker."""
     deployment = settled(Deployment(workers=2, work_ms=lambda task: 5000))
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
@@ -269,11 +269,11 @@
     assert not record.progress.failed
 
 
-def test_a_step_after_a_crashing_one_never_starts():
-    """Guards against a step that opens as the one before is given up."""
+def test_step_after_a_crashing_one_never_starts():
+    """Guards against a step that starts when the step before it fails."""
     deployment = crashing()
     job = a_job(CRASHING, steps=((2, ()), (2, (0,))))
     deployment.submit(job)
     deployment.run(40)
-    assert_given_up(deployment, job)
+    assert_failed(deployment, job)
     assert not [row for row in starts_of(deployment, job) if '.0.1.' in row[2]]
--- a/tests/test_jobs_crashing_days.py
+++ b/tests/test_jobs_crashing_days.py
@@ -1,4 +1,4 @@
-"""Random days on which some tasks crash their workers, in virtual time."""
+"""Random runs in virtual time in which some tasks crash their workers."""
 
 import pytest
 
@@ -9,12 +9,13 @@
     'seed, has_keepers',
     [(7, False), (10, False), (22, False), (122, True)],
 )
-def test_crashing_day_keeps_the_promises(seed, has_keepers):
-    """Guards against starts without end, and innocents given up, under faults.
+def test_random_run_with_crashing_tasks(seed, has_keepers):
+    """Guards against endless starts, and failures of other jobs, under faults.
 
-    At the end each job with a crashing task has failed, and each other one that
-    nobody has cancelled is completed. In all calm each task that lasts runs by
-    the rule's bound. The seeds without such tasks failed before there were any.
+    At the end, each job with a crashing task has failed, and each other job
+    that was not cancelled is completed. Without faults, each task of a keeper
+    runs within the bound of the rule. The seeds without keepers have failed
+    with earlier versions.
     """
     day = CrashingDay(seed, has_keepers=has_keepers)
     assert not day.play(), day.faults
--- a/tests/test_jobs_load.py
+++ b/tests/test_jobs_load.py
@@ -1,6 +1,6 @@
-"""What waits, where it goes and how fast it may work, under load.
+"""Order and placement of tasks under load.
 
-No network and no clock: decisions only, on workers made by hand.
+Decisions only, without a network or a clock, on hand-made workers.
 """
 
 from dataclasses import replace
@@ -10,18 +10,18 @@
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.advice_client import UnconfiguredAdviceClient
-from hyssopring.jobs.job_record import JobRecord
-from hyssopring.jobs.placement_round import PlacementRound
 from hyssopring.jobs.documents import JobRow
 from hyssopring.jobs.fleet import Fleet
 from hyssopring.jobs.interference import InterferenceModel
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.messages import (
     AttemptReport,
     StopOrder,
 )
 from hyssopring.jobs.model import AttemptEnd, Job, Queue, Size, TaskName
-from hyssopring.jobs.placement_option import PlacementOption
 from hyssopring.jobs.owner import JobOwner
+from hyssopring.jobs.placement_option import PlacementOption
+from hyssopring.jobs.placement_round import PlacementRound
 from hyssopring.jobs.planning import StepPlanner
 from hyssopring.jobs.urgency import urgency
 from standins.jobs.colocated import FILLER, KEEPER, QUICK, worker_with
@@ -29,51 +29,56 @@
 from standins.jobs.processes import ReactorClock
 
 
-def chosen(step, *workers):
+def agent_chosen_for(step, *workers):
     worker = PlacementRound(workers).choose(
         'service', step, TaskName('new', 0, 0, 0), is_starved=False
     )
     return worker and worker.agent_id
 
 
-def test_keepers_go_together_and_fillers_apart_from_them():
-    """Spread over all workers, each filler sits beside a keeper.
+def test_keepers_are_packed_and_best_effort_tasks_placed_apart():
+    """Guards against latency-critical tasks on all workers.
 
-    It is slowed to nothing there, and no job of fillers ends in time.
+    Every best-effort task is then throttled to a stop beside one, and no job of
+    best-effort tasks ends in time.
     """
     busy, empty = worker_with('busy', KEEPER), worker_with('empty')
-    assert chosen(KEEPER, busy, empty) == 'busy'
-    assert chosen(QUICK, busy, empty) == 'busy'
-    assert chosen(FILLER, busy, empty) == 'empty'
+    assert agent_chosen_for(KEEPER, busy, empty) == 'busy'
+    assert agent_chosen_for(QUICK, busy, empty) == 'busy'
+    assert agent_chosen_for(FILLER, busy, empty) == 'empty'
 
 
-def test_a_filler_waits_where_it_would_only_take_the_time_of_others():
+def test_best_effort_task_needs_idle_cpu():
     full = worker_with('full', *[FILLER] * 8)
-    assert chosen(FILLER, full) is None
-    assert chosen(FILLER, worker_with('nearly', *[FILLER] * 7)) == 'nearly'
+    assert agent_chosen_for(FILLER, full) is None
+    assert (
+        agent_chosen_for(FILLER, worker_with('nearly', *[FILLER] * 7))
+        == 'nearly'
+    )
 
 
-def test_fillers_that_use_less_than_they_ask_for_leave_room_for_more():
-    """Large jobs wait for seconds while a quarter of the processors is idle.
+def test_cpu_that_best_effort_tasks_do_not_use_is_idle():
+    """Guards against counting the CPU that tasks ask for instead of their use.
 
-    Many tasks use two thirds of what they ask for. Counted by what they ask
-    for, a worker is full long before its processors are busy.
+    Many tasks use two thirds of it. Large jobs waited for seconds while a
+    quarter of the CPU was idle.
     """
     worker = worker_with('sparing', *[FILLER] * 8)
     for placed in worker.placed_by_task.values():
         placed.load = FILLER.size.cpu_millis * 2 // 3
-    assert chosen(FILLER, worker) == 'sparing'
+    assert agent_chosen_for(FILLER, worker) == 'sparing'
 
 
-def test_a_filler_counts_in_full_before_its_use_is_known():
-    """A step's tasks start within milliseconds, with no figure of their use.
+def test_best_effort_task_counts_in_full_before_it_is_measured():
+    """Guards against a step whose tasks all start on one worker.
 
-    Taken for idle, all of them went to one worker.
+    They start within milliseconds, before their use has been measured; without
+    a measurement the worker seemed to be idle.
     """
     worker = worker_with('busy soon', *[FILLER] * 8)
     for placed in worker.placed_by_task.values():
         placed.load, placed.reports = 0, 1
-    assert chosen(FILLER, worker) is None
+    assert agent_chosen_for(FILLER, worker) is None
     for placed in worker.placed_by_task.values():
         placed.reports = 9
     assert (
@@ -81,10 +86,11 @@
     )
 
 
-def test_half_of_what_keepers_reserve_is_there_for_fillers():
-    """Keepers reserve all of a worker and use less than half of it.
+def test_half_of_the_cpu_reserved_by_keepers_is_idle():
+    """Guards against reserved CPU that nobody uses.
 
-    Large jobs waited beside 60% of idle cores.
+    Latency-critical tasks reserve a whole worker and use less than half of it:
+    large jobs waited while 60% of the cores were idle.
     """
     calm = [KEEPER] * 5
     harmless = replace(FILLER, size=Size(2000, 500, 0), image='mild')
@@ -93,11 +99,12 @@
     assert option.idle_cpu == 16_000 / 2 - 2 * 2000 + 500
 
 
-def test_fillers_are_added_beside_keepers_one_by_one():
-    """Four fillers of one image at once put a tail to six times its target.
+def test_best_effort_tasks_are_added_beside_keepers_one_by_one():
+    """Guards against starting several tasks of an interfering image at once.
 
-    The next one starts only when the last one shows in the figures, and while
-    the tails are far from their targets.
+    Four of them raised a tail to six times its target. The next one may start
+    only once the last one has been measured, while tails are far from their
+    targets and the running tasks are not throttled.
     """
     calm = worker_with('calm', KEEPER, KEEPER, load=30)
     placement = PlacementRound([calm])
@@ -108,13 +115,19 @@
         'service', FILLER, TaskName('new', 0, 0, 1), is_starved=False
     )
     assert first is calm and second is None
-    assert chosen(FILLER, worker_with('high', KEEPER, FILLER, load=80)) is None
     assert (
-        chosen(FILLER, worker_with('slowed', KEEPER, FILLER, load=30, pace=20))
+        agent_chosen_for(FILLER, worker_with('high', KEEPER, FILLER, load=80))
+        is None
+    )
+    assert (
+        agent_chosen_for(
+            FILLER, worker_with('slowed', KEEPER, FILLER, load=30, pace=20)
+        )
         is None
     )
     assert (
-        chosen(FILLER, worker_with('well', KEEPER, FILLER, load=30)) == 'well'
+        agent_chosen_for(FILLER, worker_with('well', KEEPER, FILLER, load=30))
+        == 'well'
     )
 
 
@@ -136,11 +149,11 @@
     ]
 
 
-def test_a_burst_is_served_smallest_work_first_and_late_jobs_last():
-    """More large jobs come at once than can end in time.
+def test_burst_is_ordered_by_remaining_work_with_late_jobs_last():
+    """Guards against ordering by deadline alone.
 
-    In the order of their deadlines each waits behind jobs that are late
-    anyway, until all are late.
+    If more large jobs arrive at once than can end in time, each waits behind
+    jobs that are late anyway, until all are late.
     """
     large = record_of('large', 20_000, (replace(FILLER, count=20),))
     small = record_of('small', 20_100, (replace(FILLER, count=3),))
@@ -156,40 +169,43 @@
     ]
 
 
-def test_a_long_queue_before_full_workers_is_looked_at_once(monkeypatch):
-    """After a loss of power many steps wait for 61 full workers.
+def test_full_workers_are_compared_with_one_step_of_a_long_queue(monkeypatch):
+    """Guards against comparing each step of a queue with each full worker.
 
-    A round compared each step with each worker, and the owner did so at each
-    report: agents did not hear from it for 2 s. The day had 340 jobs and 61
-    workers; how many steps waited was not counted, 150 is this test's figure.
+    After a power failure with 340 jobs and 61 workers, the owner did so on each
+    report and sent nothing to its agents for 2 s. The number of 150 steps is an
+    assumption.
     """
-    looks = []
+    checked_options = []
     has_capacity = PlacementOption.has_capacity
 
-    def counted(option, *given):
-        looks.append(option)
-        return has_capacity(option, *given)
+    def count_call(option, *arguments):
+        checked_options.append(option)
+        return has_capacity(option, *arguments)
 
-    monkeypatch.setattr(PlacementOption, 'has_capacity', counted)
+    monkeypatch.setattr(PlacementOption, 'has_capacity', count_call)
     full = [worker_with(f'w{number}', *[KEEPER] * 5) for number in range(61)]
     placement = PlacementRound(full)
     for number in range(150):
         step = replace(QUICK, size=Size(2000 + number, 500, 0))
-        name = TaskName(f'{number:016x}', 0, 0, 0)
-        assert placement.choose('service', step, name, False) is None
-    assert len(looks) == 61
+        task_name = TaskName(f'{number:016x}', 0, 0, 0)
+        assert placement.choose('service', step, task_name, False) is None
+    assert len(checked_options) == 61
 
 
-def test_a_smaller_task_still_finds_room_after_a_larger_one_has_not():
+def test_smaller_task_is_placed_after_a_larger_one_is_rejected():
     placement = PlacementRound([worker_with('almost', *[KEEPER] * 5)])
     large = replace(QUICK, size=Size(2000, 500, 0))
-    name = TaskName('1', 0, 0, 0)
-    assert placement.choose('service', large, name, False) is None
-    assert placement.choose('service', QUICK, name, False) is not None
+    task_name = TaskName('1', 0, 0, 0)
+    assert placement.choose('service', large, task_name, False) is None
+    assert placement.choose('service', QUICK, task_name, False) is not None
 
 
-def test_planning_leaves_most_of_the_time_to_all_else():
-    """Rounds that take 30 ms are 60 ms apart, however much happens."""
+def test_planning_backs_off_for_twice_the_duration_of_a_round():
+    """Guards against an owner that does nothing but plan.
+
+    Rounds that take 30 ms start 90 ms apart, however often they are requested.
+    """
     reactor = Clock()
     clock = ReactorClock(reactor)
     planner = StepPlanner(
@@ -210,10 +226,10 @@
     assert min(gaps) > 89.9
 
 
-def relieved(
+def stops_after_relief(
     placed_at_pace, quiet_worker, step=FILLER, slow_ms=3000, percent=50
 ):
-    """The stops that an owner orders for a filler beside a keeper."""
+    """Return the stops that an owner sends for a task beside a keeper."""
     clock = ManualClock()
     fleet, stops = Fleet(clock), []
 
@@ -249,27 +265,29 @@
     return stops
 
 
-def test_a_filler_that_is_held_still_moves_to_a_quiet_worker():
-    """A job ends with its slowest task, held at nothing beside a keeper."""
-    assert relieved(0, worker_with('quiet')) == [
+def test_stopped_task_is_moved_to_an_idle_worker():
+    """Guards against a job that is delayed by one task at pace 0."""
+    assert stops_after_relief(0, worker_with('quiet')) == [
         ('00000000', '000000001.0.0.0')
     ]
 
 
-def test_a_filler_stays_where_moving_gains_nothing():
+def test_task_stays_if_moving_it_gains_nothing():
     quiet = worker_with('quiet')
-    assert not relieved(100, quiet)
-    assert not relieved(0, quiet, slow_ms=500)
-    assert not relieved(0, worker_with('keepers', KEEPER))
-    assert not relieved(0, worker_with('full', *[FILLER] * 8))
-    assert not relieved(0, quiet, step=replace(FILLER, saves=False), percent=60)
+    assert not stops_after_relief(100, quiet)
+    assert not stops_after_relief(0, quiet, slow_ms=500)
+    assert not stops_after_relief(0, worker_with('keepers', KEEPER))
+    assert not stops_after_relief(0, worker_with('full', *[FILLER] * 8))
+    assert not stops_after_relief(
+        0, quiet, step=replace(FILLER, saves=False), percent=60
+    )
 
 
-def test_a_keeper_that_lost_its_worker_comes_before_batch_work():
-    """VMs are taken away under load, and keepers have to move.
+def test_keeper_that_lost_its_worker_comes_before_batch_tasks():
+    """Guards against a keeper that counts as overdue because of its age.
 
-    A keeper's job was handed in long ago, so that it counted as overdue, and
-    each free place went to batch tasks: it ran nowhere for nine seconds.
+    When VMs were removed under load, all free capacity went to batch tasks, and
+    a keeper did not run for nine seconds.
     """
     keeper = a_job(1, steps=((1, ()),), is_keeper=True)
     deployment = settled(
--- a/tests/test_jobs_lost_vms.py
+++ b/tests/test_jobs_lost_vms.py
@@ -1,20 +1,20 @@
-"""VMs that stay away while owners die: what waits for them, and how long."""
+"""How long tasks wait for lost VMs while owners are lost as well."""
 
 import pytest
 
 from hyssopring.jobs.times import GRANT_EXPIRY_MS, ROSTER_WAIT_MS
 from standins.jobs.deployment import Deployment, a_job, settled
 
-FOREVER_MS = 1e9
-LOST = 0
+KEEPER_MS = 1e9
+LOST_NUMBER = 0
 RESTART_S = 1.0
 
 
-def lasting(count, workers=5, entries=3, per_worker=1):
-    """Tasks that last, spread over all workers."""
+def with_keeper(count, workers=5, entries=3, per_worker=1):
+    """Return a deployment and a keeper job spread over all workers."""
     deployment = settled(
         Deployment(
-            workers=workers, entries=entries, work_ms=lambda task: FOREVER_MS
+            workers=workers, entries=entries, work_ms=lambda task: KEEPER_MS
         )
     )
     job = a_job(steps=((count, ()),), is_keeper=True, max_per_worker=per_worker)
@@ -25,16 +25,16 @@
 
 
 def running(deployment, job):
-    """The indices of the tasks that run now."""
+    """Return the indices of the running tasks."""
     return {
         int(task.rpartition('.')[2])
-        for task, held in deployment.book.running.items()
-        if held and task.startswith(job.job_id)
+        for task, runs in deployment.book.running.items()
+        if runs and task.startswith(job.job_id)
     }
 
 
-def lose_vm(deployment, number=LOST):
-    """A VM is gone: its worker and its agent; return its tasks."""
+def lose_vm(deployment, number=LOST_NUMBER):
+    """Lose a VM with its worker and agent; return the indices of its tasks."""
     worker = deployment.workers[number]
     lost = {int(task.rpartition('.')[2]) for task in worker.runs}
     worker.crash()
@@ -45,12 +45,12 @@
 
 def fail_elsewhere(deployment):
     for number, worker in enumerate(deployment.workers):
-        if number != LOST:
+        if number != LOST_NUMBER:
             worker.fail_all()
 
 
 def kill_owner(deployment, back_s=None):
-    """Kill the owner's process; it is started again after a while."""
+    """Kill the owner's process, and restart it after ``back_s`` if given."""
     name = deployment.owner
     deployment.kill_entry(name)
     if back_s is not None:
@@ -58,18 +58,18 @@
 
 
 def run_until_owned(deployment):
-    """Go on until a living entry has taken over and knows all jobs."""
-    for _each in range(1000):
+    """Run until a live entry has taken over and loaded all jobs."""
+    for _repeat in range(1000):
         deployment.run(0.01)
         for entry in deployment.entries.values():
             shards = entry.core.owner.shards.by_shard.values()
             if entry.is_alive and any(owned.is_loaded for owned in shards):
                 return
-    raise AssertionError('nobody has taken the shard')
+    raise AssertionError('no entry has acquired the shard')
 
 
-def lose_all_power(deployment, away):
-    """All processes and workers end at once; some VMs stay away."""
+def lose_all_power(deployment, lost_numbers):
+    """End all processes and workers at once; restart all VMs but some."""
     for name, entry in deployment.entries.items():
         if entry.is_alive:
             deployment.kill_entry(name)
@@ -79,7 +79,7 @@
             deployment.kill_agent(name)
         worker.crash()
         worker.is_dark = True
-        if number not in away:
+        if number not in lost_numbers:
             deployment.reactor.callLater(1, power_up, deployment, number)
 
 
@@ -90,11 +90,11 @@
 
 
 @pytest.mark.parametrize('back_s', [None, 0.7])
-def test_takeovers_in_series_do_not_prolong_the_wait_for_a_lost_vm(back_s):
-    """Each owner began its wait for a lost VM anew, beside room elsewhere."""
-    deployment, job = lasting(4, entries=6)
+def test_repeated_takeovers_do_not_prolong_the_wait_for_a_lost_vm(back_s):
+    """Guards against a wait for a lost VM that restarts with each owner."""
+    deployment, job = with_keeper(4, entries=6)
     lost = lose_vm(deployment)
-    for _each in range(4):
+    for _repeat in range(4):
         kill_owner(deployment, back_s)
         fail_elsewhere(deployment)
         run_until_owned(deployment)
@@ -105,9 +105,9 @@
     assert running(deployment, job) == set(range(4)), lost
 
 
-def test_a_lost_vm_holds_up_only_the_tasks_that_it_may_run():
-    """Lasting tasks that ended elsewhere waited for a VM they never were on."""
-    deployment, job = lasting(5)
+def test_lost_vm_delays_only_the_tasks_that_it_may_run():
+    """Guards against tasks that wait for a VM on which they never ran."""
+    deployment, job = with_keeper(5)
     lost = lose_vm(deployment)
     kill_owner(deployment)
     fail_elsewhere(deployment)
@@ -116,16 +116,17 @@
     assert running(deployment, job) >= set(range(5)) - lost
 
 
-def test_a_loss_of_power_with_a_replaced_entry_holds_up_no_other_task():
-    """All power is lost; one VM and the owner's machine never come back.
+def test_power_failure_with_a_replaced_entry_delays_no_other_task():
+    """Guards against all tasks of keepers waiting 18 s for one lost VM.
 
-    Another entry takes the shard while the former owner may still act as far
-    as anybody knows, and all lasting tasks waited 18 s for the lost VM.
+    After a power failure, one VM and the owner's machine never come back.
+    Another entry acquires the shard while the former owner's lease may still be
+    valid.
     """
-    deployment, job = lasting(5)
+    deployment, job = with_keeper(5)
     owner = deployment.owner
-    lost = {int(task[-1]) for task in deployment.workers[LOST].runs}
-    lose_all_power(deployment, away={LOST})
+    lost = {int(task[-1]) for task in deployment.workers[LOST_NUMBER].runs}
+    lose_all_power(deployment, lost_numbers={LOST_NUMBER})
     names = [name for name in deployment.entries if name != owner]
     for name in [*names, 'entry-9']:
         deployment.reactor.callLater(1, deployment.start_entry, name)
@@ -134,9 +135,9 @@
     assert running(deployment, job) >= set(range(5)) - lost
 
 
-def test_the_tasks_of_a_lost_vm_start_once_its_grants_are_over():
-    """The wait for what may run on a lost VM began anew at each takeover."""
-    deployment, job = lasting(5, per_worker=2)
+def test_tasks_of_a_lost_vm_start_once_its_grant_expires():
+    """Guards against a wait for the grant that restarts with each takeover."""
+    deployment, job = with_keeper(5, per_worker=2)
     lost_at = deployment.reactor.seconds()
     assert lose_vm(deployment)
     deployment.run(2)
@@ -150,45 +151,45 @@
     assert running(deployment, job) == set(range(5))
 
 
-def test_an_agent_that_stops_beside_a_dead_worker_says_when_its_hold_is_over():
-    """A worker dies, and its agent is stopped while its tasks may run on.
+def test_agent_that_stops_beside_a_lost_worker_announces_its_hold_expiry():
+    """Guards against a wait that counts from the owner's last grant.
 
-    Only its own process could tell when the hold was over: the owner counted
-    from its last grant, and the tasks were away for 12 s.
+    A worker is lost, and its agent is stopped while tasks may still run. Only
+    the agent knew when the hold expired: the tasks did not run for 12 s.
     """
-    deployment, job = lasting(5, per_worker=2)
+    deployment, job = with_keeper(5, per_worker=2)
     died_at = deployment.reactor.seconds()
-    deployment.workers[LOST].crash()
-    deployment.workers[LOST].is_dark = True
+    deployment.workers[LOST_NUMBER].crash()
+    deployment.workers[LOST_NUMBER].is_dark = True
     deployment.run(3.5)
-    deployment.stop_agent(f'agent-{LOST}')
+    deployment.stop_agent(f'agent-{LOST_NUMBER}')
     left_s = died_at + 7.5 - deployment.reactor.seconds()
     deployment.run(left_s)
     assert running(deployment, job) == set(range(5))
 
 
-def test_an_agent_that_stops_beside_a_worker_that_lives_ends_at_once():
-    """The worker keeps its tasks for the next agent, which must not wait."""
-    deployment, job = lasting(5, per_worker=2)
-    deployment.stop_agent(f'agent-{LOST}')
+def test_agent_that_stops_beside_a_live_worker_ends_at_once():
+    """Guards against delaying the next agent, which takes over the tasks."""
+    deployment, job = with_keeper(5, per_worker=2)
+    deployment.stop_agent(f'agent-{LOST_NUMBER}')
     deployment.run(0.1)
-    assert not deployment.agents[f'agent-{LOST}'].is_alive
+    assert not deployment.agents[f'agent-{LOST_NUMBER}'].is_alive
     assert running(deployment, job) == set(range(5))
 
 
-def test_an_agent_that_left_as_its_owner_was_lost_is_not_waited_for():
-    """A worker dies, its agent is stopped, and the owner's VM is lost at once.
+def test_next_owner_knows_the_hold_expiry_of_a_stopped_agent():
+    """Guards against a hold expiry that is lost with the owner.
 
-    Nobody had written until when its tasks may run, and the next owner waited
-    18 s from its takeover.
+    A worker is lost, its agent is stopped, and then the owner's VM is lost. The
+    expiry had not been stored, and the next owner waited 18 s.
     """
-    deployment, job = lasting(5, per_worker=2)
+    deployment, job = with_keeper(5, per_worker=2)
     died_at = deployment.reactor.seconds()
-    assert deployment.workers[LOST].runs
-    deployment.workers[LOST].crash()
-    deployment.workers[LOST].is_dark = True
+    assert deployment.workers[LOST_NUMBER].runs
+    deployment.workers[LOST_NUMBER].crash()
+    deployment.workers[LOST_NUMBER].is_dark = True
     deployment.run(3.5)
-    deployment.stop_agent(f'agent-{LOST}')
+    deployment.stop_agent(f'agent-{LOST_NUMBER}')
     deployment.run(2)
     kill_owner(deployment)
     left_s = died_at + 5.5 + 7 - deployment.reactor.seconds()
@@ -196,14 +197,17 @@
     assert running(deployment, job) == set(range(5))
 
 
-def test_owners_that_live_for_a_moment_do_not_prolong_the_wait():
-    """Owners were killed 0.3 s after their takeovers, and wrote nothing."""
-    deployment, job = lasting(4, entries=9)
+def test_short_lived_owners_do_not_prolong_the_wait():
+    """Guards against a wait that restarts with owners that stored nothing.
+
+    They are killed 0.3 s after their takeover.
+    """
+    deployment, job = with_keeper(4, entries=9)
     lose_vm(deployment)
     kill_owner(deployment)
     run_until_owned(deployment)
     first_at = deployment.reactor.seconds()
-    for _each in range(6):
+    for _repeat in range(6):
         deployment.run(0.3)
         kill_owner(deployment)
         run_until_owned(deployment)
--- a/tests/test_jobs_moving_days.py
+++ b/tests/test_jobs_moving_days.py
@@ -1,6 +1,6 @@
-"""Random days on which lasting tasks move while owners and links fail.
+"""Random runs in which keepers' tasks move while owners and links fail.
 
-Longer runs: ``python -m tests.test_jobs_moving_days FIRST LAST``.
+More seeds: ``python -m tests.test_jobs_moving_days FIRST LAST``.
 """
 
 import sys
@@ -11,21 +11,21 @@
 
 
 @pytest.mark.parametrize('seed', [1085, 1001])
-def test_a_day_of_lasting_tasks_that_move(seed):
-    """Guards against two runs of a task that a later owner does not know of.
+def test_random_run_with_moving_tasks(seed):
+    """Guards against a second run of a task of which a later owner has no row.
 
-    The workers' book asserts it all the while.
+    The stand-in workers assert that no task runs twice.
     """
     MovingDay(seed).play()
 
 
 def main(first, last):
-    """Play days by hand, one line each that fails."""
+    """Run a range of seeds and print a line for each that fails."""
     for seed in range(first, last + 1):
         try:
             MovingDay(seed).play()
-        except AssertionError as broken:
-            print(seed, broken)
+        except AssertionError as error:
+            print(seed, error)
 
 
 if __name__ == '__main__':
--- a/tests/test_jobs_rooms.py
+++ b/tests/test_jobs_rooms.py
@@ -1,7 +1,7 @@
-"""Workers whose room shrinks and grows while they run, in virtual time.
+"""Workers whose capacity shrinks and grows while they run, in virtual time.
 
-The workers' book asserts that no start takes a worker over the room that it has
-announced, from three seconds and a beat after it has shrunk.
+The stand-in workers assert that no start exceeds the capacity that a worker has
+announced, from three seconds and one announcement after it has shrunk.
 """
 
 from hyssopring.jobs.model import JobState, Size
@@ -13,7 +13,7 @@
 GRACE_S = 4.6
 
 
-def one_worker(work_ms=LONG_MS):
+def with_one_worker(work_ms=LONG_MS):
     deployment = settled(Deployment(workers=1, work_ms=lambda task: work_ms))
     worker = deployment.workers[0]
     worker.resize(LARGE)
@@ -21,38 +21,38 @@
     return deployment, worker
 
 
-def running(worker):
+def running_count(worker):
     return len(worker.runs)
 
 
-def test_what_has_shrunk_takes_no_more_until_it_grows_again():
-    """Guards against a start into a room that is gone."""
-    deployment, worker = one_worker()
+def test_shrunk_worker_gets_no_more_tasks_until_it_grows_again():
+    """Guards against starts into capacity that no longer exists."""
+    deployment, worker = with_one_worker()
     worker.resize(SMALL)
     deployment.run(2)
     deployment.submit(a_job(steps=((3, ()),)))
     deployment.run(5)
-    assert running(worker) == 1
+    assert running_count(worker) == 1
     worker.resize(LARGE)
     deployment.run(3)
-    assert running(worker) == 3
+    assert running_count(worker) == 3
 
 
-def test_a_shrink_below_what_runs_stops_nothing_and_starts_nothing():
-    """Guards against starts where what runs has no room any more."""
-    deployment, worker = one_worker()
+def test_shrinking_below_the_running_tasks_stops_and_starts_none():
+    """Guards against starts on a worker whose tasks exceed its capacity."""
+    deployment, worker = with_one_worker()
     deployment.submit(a_job(steps=((3, ()),)))
     deployment.run(1)
     worker.resize(SMALL)
     deployment.run(2)
     deployment.submit(a_job(2))
     deployment.run(8)
-    assert running(worker) == 3
+    assert running_count(worker) == 3
 
 
-def test_an_old_announcement_says_nothing_of_a_room():
-    """Guards against a start on a room that was announced long ago."""
-    deployment, worker = one_worker()
+def test_expired_announcement_counts_as_no_capacity():
+    """Guards against starts into capacity that was announced long ago."""
+    deployment, worker = with_one_worker()
     worker.has_beats = False
     deployment.run(1)
     worker.resize(SMALL)
@@ -60,15 +60,15 @@
     job = a_job(steps=((3, ()),))
     deployment.submit(job)
     deployment.run(3)
-    assert not running(worker)
+    assert not running_count(worker)
     worker.has_beats = True
     deployment.run(3)
-    assert running(worker) == 1
+    assert running_count(worker) == 1
 
 
-def test_a_start_without_an_answer_is_not_repeated_into_a_shrunk_room():
-    """Guards against a repeated start that was decided on an older room."""
-    deployment, worker = one_worker()
+def test_unanswered_start_is_not_repeated_on_a_shrunk_worker():
+    """Guards against repeating a start that was planned for more capacity."""
+    deployment, worker = with_one_worker()
     deployment.submit(a_job(steps=((1, ()),)))
     deployment.run(1)
     worker.resize(SMALL)
@@ -79,40 +79,45 @@
     deployment.run(1.6)
     worker.lose_next = 0
     deployment.run(6)
-    assert running(worker) == 1
+    assert running_count(worker) == 1
 
 
-def test_a_shrink_before_a_takeover_holds_for_the_next_owner():
-    """Guards against a next owner that starts on what the former one knew."""
-    deployment, worker = one_worker()
+def test_next_owner_uses_the_shrunk_capacity():
+    """Guards against a next owner that uses the capacity before a takeover."""
+    deployment, worker = with_one_worker()
     worker.resize(SMALL)
     deployment.run(0.2)
     deployment.kill_entry(deployment.owner)
     entry = next(
-        name for name, each in deployment.entries.items() if each.is_alive
+        name
+        for name, candidate in deployment.entries.items()
+        if candidate.is_alive
     )
     deployment.submit(a_job(steps=((3, ()),)), entry)
     deployment.run(30)
-    assert running(worker) == 1
+    assert running_count(worker) == 1
 
 
-def test_an_agent_that_was_frozen_keeps_to_a_room_that_shrank_meanwhile():
-    """Guards against an order that a frozen agent reads before the beat."""
-    deployment, worker = one_worker()
+def test_paused_agent_uses_the_capacity_that_shrank_meanwhile():
+    """Guards against a start that is read before the announcement.
+
+    The agent's process was paused, and both arrived meanwhile.
+    """
+    deployment, worker = with_one_worker()
     agent = deployment.agents['agent-0']
     agent.thaws_at = deployment.reactor.seconds() + 6
     worker.resize(SMALL)
     deployment.submit(a_job(steps=((3, ()),)))
     deployment.run(20)
-    assert running(worker) == 1
+    assert running_count(worker) == 1
 
 
-def test_tasks_complete_on_a_worker_that_shrinks_and_grows_all_the_time():
-    """Guards against refused starts that are never sent again."""
-    deployment, worker = one_worker(work_ms=800)
+def test_tasks_complete_on_a_worker_that_keeps_changing_size():
+    """Guards against refused starts that are never repeated."""
+    deployment, worker = with_one_worker(work_ms=800)
     job = a_job(steps=((20, ()),))
     deployment.submit(job)
-    for _each in range(10):
+    for _cycle in range(10):
         worker.resize(SMALL)
         deployment.run(3)
         worker.resize(LARGE)
--- a/tests/test_jobs_waits.py
+++ b/tests/test_jobs_waits.py
@@ -1,35 +1,35 @@
-"""Lasting tasks that do not run: what is logged and counted of them."""
+"""Log lines and metrics of keepers' tasks that do not run."""
 
 import pytest
 
 from hyssopring.jobs.job_metrics import JobMetrics
-from hyssopring.jobs.model import Size
 from hyssopring.jobs.keeper_waits import WaitReason
+from hyssopring.jobs.model import Size
 from hyssopring.logs import Event, _emit, listen_to_events
 from hyssopring.metrics import Metrics
 from standins.jobs.deployment import Deployment, a_job, settled
 
-FOREVER_MS = 1e9
+KEEPER_MS = 1e9
 
 
 @pytest.fixture
 def waits():
-    """All lines of lasting tasks that wait."""
+    """Yield the fields of all TASK_WAITING lines."""
     logged = []
 
-    def hear(event, fields):
+    def record(event, fields):
         if event is Event.TASK_WAITING:
             logged.append(fields)
 
-    listen_to_events(hear)
+    listen_to_events(record)
     yield logged
-    _emit._listeners.remove(hear)
+    _emit._listeners.remove(record)
 
 
-def lasting(count=2, workers=3, number=1, **changes):
-    """A deployment that has taken a job of tasks that last."""
+def with_keeper(count=2, workers=3, number=1, **changes):
+    """Return a deployment and the job of a keeper that it has accepted."""
     deployment = settled(
-        Deployment(workers=workers, work_ms=lambda task: FOREVER_MS)
+        Deployment(workers=workers, work_ms=lambda task: KEEPER_MS)
     )
     job = a_job(number, steps=((count, ()),), is_keeper=True, **changes)
     deployment.submit(job)
@@ -38,18 +38,18 @@
 
 
 def reasons(waits):
-    return {each['reason'] for each in waits}
+    return {fields['reason'] for fields in waits}
 
 
 def lose_vm(deployment, number):
-    """A VM is gone: its worker and its agent."""
+    """Lose a VM with its worker and its agent."""
     deployment.workers[number].is_dark = True
     deployment.kill_agent(f'agent-{number}')
 
 
-def test_tasks_that_run_are_not_told_of(waits):
-    """A line for a task that runs would hide the one that does not."""
-    deployment, _job = lasting()
+def test_running_tasks_are_not_logged(waits):
+    """Guards against lines of running tasks that hide those that wait."""
+    deployment, _job = with_keeper()
     deployment.run(10)
     deployment.workers[0].fail_all()
     deployment.run(10)
@@ -57,15 +57,15 @@
     assert deployment.entries[deployment.owner].core.owner.waits.waiting == 0
 
 
-def test_a_wait_for_an_unheard_agent_names_it_and_how_long_it_lasts(waits):
-    """After the fact nobody could tell why a task was not placed."""
-    deployment, _job = lasting(count=3, max_per_worker=1)
+def test_wait_for_an_unreachable_agent_is_logged_with_its_duration(waits):
+    """Guards against a task that is not placed without a logged reason."""
+    deployment, _job = with_keeper(count=3, max_per_worker=1)
     lose_vm(deployment, 0)
     deployment.kill_entry(deployment.owner)
     deployment.run(12)
     assert reasons(waits) == {WaitReason.UNHEARD.value}
-    assert {each['agents'] for each in waits} == {'agent-0'}
-    assert all(each['left_ms'] > 0 for each in waits)
+    assert {fields['agents'] for fields in waits} == {'agent-0'}
+    assert all(fields['left_ms'] > 0 for fields in waits)
 
 
 @pytest.mark.parametrize(
@@ -75,24 +75,24 @@
         ({'max_per_worker': 1}, WaitReason.WORKER_LIMIT),
     ],
 )
-def test_a_condition_that_no_worker_meets_is_named(waits, changes, reason):
-    """A task that can be placed nowhere looked like one that is forgotten."""
-    lasting(count=4, **changes)[0].run(5)
+def test_condition_that_no_worker_meets_is_logged(waits, changes, reason):
+    """Guards against a task that cannot be placed and seems to be lost."""
+    with_keeper(count=4, **changes)[0].run(5)
     assert reasons(waits) == {reason.value}
 
 
-def test_a_lack_of_room_is_named(waits):
-    """A full deployment looked like a lost task."""
-    deployment, _job = lasting(count=200)
+def test_lack_of_capacity_is_logged(waits):
+    """Guards against a full deployment that seems to have lost a task."""
+    deployment, _job = with_keeper(count=200)
     deployment.run(5)
     assert reasons(waits) == {WaitReason.NO_ROOM.value}
     assert len(waits) <= 20 * 3
     assert waits[-1]['waiting'] > 20
 
 
-def test_an_owner_without_the_store_says_so(waits):
-    """An owner that may not order stands still, and looked idle."""
-    deployment, _job = lasting()
+def test_owner_without_the_store_is_logged(waits):
+    """Guards against an owner that may not start tasks and seems idle."""
+    deployment, _job = with_keeper()
     deployment.rows.is_down = True
     deployment.run(12)
     for worker in deployment.workers:
@@ -101,32 +101,32 @@
     assert WaitReason.NO_AUTHORITY.value in reasons(waits)
 
 
-def test_an_order_that_no_report_confirms_is_named(waits):
-    """A task that was ordered and never listed counted as running."""
-    deployment, _job = lasting(count=1)
+def test_unconfirmed_start_is_logged(waits):
+    """Guards against counting a task as running that no report has listed."""
+    deployment, _job = with_keeper(count=1)
     deployment.run(1)
-    runs_at = next(
+    running_number = next(
         number
         for number, worker in enumerate(deployment.workers)
         if worker.runs
     )
     for number, agent in enumerate(deployment.agents.values()):
-        if number != runs_at:
+        if number != running_number:
             agent.core._orders.start = lambda order, attempt: None
             agent.core.table.add = lambda attempt: None
             agent.core._report = lambda entry_id: None
-    deployment.workers[runs_at].room = Size()
+    deployment.workers[running_number].room = Size()
     deployment.run(3)
-    deployment.workers[runs_at].fail_all()
+    deployment.workers[running_number].fail_all()
     deployment.run(5)
     assert WaitReason.UNCONFIRMED.value in reasons(waits)
 
 
 def test_waits_are_counted_by_their_reason():
-    """An alert needs a series, not lines."""
+    """Alerts are based on the metric."""
     metrics = Metrics()
-    measures = JobMetrics(metrics)
-    measures.record_event(
+    job_metrics = JobMetrics(metrics)
+    job_metrics.record_event(
         Event.TASK_WAITING, {'reason': WaitReason.UNHEARD.value}
     )
     name = 'lasting_tasks_waited_total{reason="unheard"}'
--- a/tests/test_measures.py
+++ b/tests/test_measures.py
@@ -1,4 +1,4 @@
-"""Series of the platform's processes, and their page."""
+"""Metrics of the platform's processes, and the page that lists them."""
 
 import pathlib
 import re
@@ -27,20 +27,20 @@
 }
 
 
-def counted():
+def metrics_of_all_events():
     metrics = Metrics()
-    measures = JobMetrics(metrics)
+    job_metrics = JobMetrics(metrics)
     for event in Event:
-        measures.record_event(
+        job_metrics.record_event(
             event,
             {'state': 'completed', 'age_ms': 9, 'due_ms': 5, 'how': 'done'},
         )
-    measures.record_event(Event.TASK_PLACED, {'report_age_ms': 7})
-    measures.record_event(Event.ADVICE_GIVEN, {'took_ms': 7})
+    job_metrics.record_event(Event.TASK_PLACED, {'report_age_ms': 7})
+    job_metrics.record_event(Event.ADVICE_GIVEN, {'took_ms': 7})
     return metrics
 
 
-def test_the_page_lists_each_series_and_nothing_else():
+def test_page_lists_exactly_the_exported_metrics():
     page = pathlib.Path('docs/METRICS.md').read_text()
     listed = {
         name
@@ -50,20 +50,20 @@
     }
     rendered = {
         re.match('hyssopring_([a-z_]+)', line)[1].removesuffix('_count')
-        for line in counted().render().splitlines()
+        for line in metrics_of_all_events().render().splitlines()
     }
     assert listed == rendered | GAUGES
 
 
-def test_events_are_counted_by_what_decides_what_to_do():
-    metrics = counted()
+def test_events_are_counted_with_their_labels():
+    metrics = metrics_of_all_events()
     assert metrics.counter('jobs_finished_total{state="completed"}') == 1
     assert metrics.counter('jobs_late_total') == 1
     assert metrics.counter('starts_ordered_total') == 2
     assert metrics.percentile('report_age', 50) >= 7
 
 
-def test_the_deploy_file_names_the_port_and_path_that_are_served():
+def test_deploy_file_has_the_port_and_path_of_the_metrics():
     text = pathlib.Path('deploy/system.toml').read_text()
     roles = tomllib.loads(text)['roles']
     for role in roles.values():
