--- a/hyssopring/jobs/fleet.py
+++ b/hyssopring/jobs/fleet.py
@@ -33,7 +33,7 @@
     Attributes:
         departed: Agents that have announced their shutdown, by ID, until they
             reconnect.
-        by_agent: The other agents with their workers, by agent ID.
+        by_agent: Agents with their workers, by agent ID.
     """
 
     def __init__(self, clock: Clock, incarnation: str = '') -> None:
--- a/hyssopring/jobs/interference.py
+++ b/hyssopring/jobs/interference.py
@@ -206,7 +206,7 @@
     def per_core(
         self, latency_critical_image: str, best_effort_image: str
     ) -> InterferenceEstimate:
-        """Return the headroom that a core of the second takes of the first."""
+        """Return what a core of the second image takes from the first."""
         kalman_filter = self._filter_by_image.get(latency_critical_image)
         if (
             kalman_filter is None
--- a/hyssopring/jobs/placement_option.py
+++ b/hyssopring/jobs/placement_option.py
@@ -165,7 +165,7 @@
         )
 
     def _leaves_headroom(self, step: Step) -> bool:
-        """Return whether one more task leaves all enough headroom.
+        """Return whether all keep enough headroom beside one more task.
 
         Interference that is negligible for a single task adds up: ten such
         tasks put a latency-critical task over its target, and were all
