--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -208,7 +208,7 @@
     @take.register(ConfigurationText)
     @take.register(ConfigurationPart)
     def _take_configuration(self, message: JobsMessage, peer_id: str) -> None:
-        self.configuration.take(message, peer_id)
+        self.configuration.handle_message(message, peer_id)
 
     @take.register
     def _take_outcome(self, message: RelayedResponse, peer_id: str) -> None:
--- a/hyssopring/jobs/shared_configuration.py
+++ b/hyssopring/jobs/shared_configuration.py
@@ -73,11 +73,11 @@
             self._peers.answer(entry_id, ConfigurationNotice(self._version))
 
     @singledispatchmethod
-    def take(self, message: JobsMessage, entry_id: str) -> None:
+    def handle_message(self, message: JobsMessage, entry_id: str) -> None:
         """Take another entry's message about a configuration."""
         raise TypeError(type(message).__name__)
 
-    @take.register
+    @handle_message.register
     def _take_notice(
         self,
         message: ConfigurationNotice,
@@ -92,7 +92,7 @@
         if self._timer is None:
             self._wait(_LEAVE_TO_STORE_S)
 
-    @take.register
+    @handle_message.register
     def _take_question(
         self,
         message: ConfigurationRequest,
@@ -107,11 +107,11 @@
         if part is not None:
             self._send(entry_id, part)
 
-    @take.register
+    @handle_message.register
     def _take_text(self, message: ConfigurationText, entry_id: str) -> None:
         self.on_stored(StoredConfiguration(message.text, 0))
 
-    @take.register
+    @handle_message.register
     def _take_part(self, message: ConfigurationPart, entry_id: str) -> None:
         if entry_id != self._asked or message.version <= self._version:
             return
--- a/standins/configuration_site.py
+++ b/standins/configuration_site.py
@@ -96,7 +96,7 @@
 
     def _take(self, sender, entry, payload):
         if sender not in self.dead and entry.name not in self.dead:
-            entry.shared.take(unpack(payload), sender)
+            entry.shared.handle_message(unpack(payload), sender)
 
     def run_until(self, second):
         """Let time pass up to this second of the day."""
--- a/tests/test_jobs_configuration_parts.py
+++ b/tests/test_jobs_configuration_parts.py
@@ -51,7 +51,7 @@
         self.shared = SharedConfiguration(self.clock, self.peers)
         self.shared.on_stored = self._take
         for holder in holders:
-            self.shared.take(ConfigurationNotice(version), holder)
+            self.shared.handle_message(ConfigurationNotice(version), holder)
         self.clock.advance(0.25)
 
     def _take(self, stored):
@@ -60,7 +60,7 @@
         self.shared.applied(version, stored)
 
     def tell(self, holder, message):
-        self.shared.take(message, holder)
+        self.shared.handle_message(message, holder)
 
     def get_all_from(self, name, holder):
         """Answer questions until none is asked of this holder any more."""
@@ -81,7 +81,7 @@
 def asked(holder, question):
     """What a holder answers, None for nothing."""
     before = len(holder._peers.sent)
-    holder.take(question, 'asker')
+    holder.handle_message(question, 'asker')
     return holder._peers.last()[1] if holder._peers.sent[before:] else None
 
 
