--- a/hyssopring/jobs/relay.py
+++ b/hyssopring/jobs/relay.py
@@ -1,13 +1,14 @@
-"""Store calls through a peer, for an entry that the store turns away.
+"""Relays store calls through a peer for an entry that the store rejects.
 
 The store may refuse or ignore single VMs while it serves all others, and does
-not tell them so. An owner among them could neither show that it lives nor
-record an end: its jobs would wait until another entry has taken its shard,
-three seconds and more. A peer makes its calls instead.
+not tell them so. An owner among them could neither renew its row nor record
+the end of a task: its jobs would wait until another entry had taken its
+shard, which takes three seconds or more. A peer makes its calls instead.
 
-A call that was not answered may be sent again this way. Transactions carry
-checks, so that a second copy changes nothing or meets its own first one, which
-each caller has to expect anyway: answers get lost on the direct way, too.
+A call without a response may be sent a second time this way. That is safe:
+transactions carry checks, so that a second copy has no effect or conflicts
+with the first one. Callers have to expect such a conflict anyway, as
+responses of direct calls get lost, too.
 """
 
 from dataclasses import replace
@@ -18,24 +19,24 @@
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.messages import JobsMessage
-from hyssopring.jobs.peer_requests import PeerTransport, PeerRequests
+from hyssopring.jobs.peer_requests import PeerRequests, PeerTransport
 from hyssopring.jobs.relay_messages import (
-    RelayedResponse,
     RelayedChanges,
     RelayedCommit,
     RelayedRead,
+    RelayedResponse,
 )
 from hyssopring.jobs.relayed_calls import (
-    IN_DOUBT,
     REFUSED,
-    answer_of,
-    commit_message,
-    failed_answer,
-    is_in_doubt,
+    UNCERTAIN,
+    commit_request,
     is_served,
-    only_row,
-    outcome_of,
-    transaction_of,
+    is_uncertain,
+    outcome_from_response,
+    response_for_failure,
+    response_for_outcome,
+    single_row,
+    transaction_from_request,
 )
 from hyssopring.jobs.row_keys import ENTRIES_TABLE
 from hyssopring.jobs.rows import (
@@ -50,29 +51,29 @@
 
 __all__ = ('RelayPeers', 'RelayedStore')
 
-# A peer's own call ends after 1.2 s.
-_RELAY_S: Final = 1.5
-# How often an entry that is turned away tries the direct way again, and how
-# long it leaves its peers alone when none of them is served either.
-_PROBE_MS: Final = 1000.0
-_REST_MS: Final = 500.0
-# A third of the entries may be turned away at once.
+# Longer than the timeout of the peer's own call, 1.2 s.
+_RELAY_TIMEOUT_S: Final = 1.5
+# How often an entry that relays its calls tries a direct one again.
+_PROBE_INTERVAL_MS: Final = 1000.0
+# Pause in relaying after no peer was served either.
+_RELAY_PAUSE_MS: Final = 500.0
+# The store may reject a third of the entries at the same time.
 _MAX_PEERS: Final = 3
-# So many peers may leave a reading in doubt, each for its own time limit.
-_MAX_DOUBTS: Final = 2
-# A peer that was not served is asked after the others for this long, which is
-# longer than the outages seen (up to 9 s).
-_DOUBT_MS: Final = 10_000.0
-# An entry that was not served itself within this time refuses its peers' calls
-# at once: they would wait for its time limit to hear the same.
-_FAILED_MS: Final = 1000.0
+# Peers that may leave a read without a result, each for the whole timeout.
+_MAX_UNCERTAIN: Final = 2
+# A peer whose call had no certain result is tried after the others for this
+# long; longer than the outages seen (up to 9 s).
+_DEPRIORITIZED_MS: Final = 10_000.0
+# After a failed direct call an entry refuses its peers' calls for this long;
+# otherwise they would wait for the whole timeout to get the same result.
+_REFUSE_PEERS_MS: Final = 1000.0
 _NEVER: Final = float('-inf')
 
-Relayed = Callable[[int], JobsMessage]
+RequestBuilder = Callable[[int], JobsMessage]
 
 
 class RelayPeers(PeerTransport, Protocol):
-    """The entries that may be asked to make a call."""
+    """The entries that can relay a call."""
 
     @property
     def connected_entries(self) -> list[str]:
@@ -80,7 +81,7 @@
 
 
 class RelayedStore:
-    """A ``RowStore`` that goes through a peer while the direct way fails."""
+    """A ``RowStore`` that relays its calls while direct ones fail."""
 
     def __init__(
         self,
@@ -89,24 +90,24 @@
         direct: RowStore,
         peers: RelayPeers,
     ) -> None:
-        """Call ``direct`` as long as it answers."""
+        """Use ``direct`` as long as it responds."""
         self._clock = clock
         self._direct = direct
         self._peers = peers
-        self._questions = PeerRequests(reactor, peers)
-        self._peer = ''
-        self._unserved_at: dict[str, float] = {}
-        self._failed_at = _NEVER
-        self._is_turned_away = False
+        self._peer_requests = PeerRequests(reactor, peers)
+        self._preferred_peer = ''
+        self._uncertain_at_by_peer: dict[str, float] = {}
+        self._direct_failed_at = _NEVER
+        self._is_relaying = False
         self._probe_at = clock.now()
-        self._rests_until = clock.now()
+        self._relay_paused_until = clock.now()
 
     def commit(self, transaction: Transaction) -> Any:
         """See ``RowStore``."""
         return self._call(
             lambda: self._direct.commit(transaction),
-            lambda number: commit_message(number, transaction),
-            doubts=1,
+            lambda number: commit_request(number, transaction),
+            max_uncertain=1,
         )
 
     def read(self, table: str, part: str, first: str = '') -> Any:
@@ -116,19 +117,19 @@
             lambda number: RelayedRead(number, table, part, first, False),
         )
 
-    def read_one(self, place: RowKey) -> Any:
+    def read_one(self, row_key: RowKey) -> Any:
         """See ``RowStore``."""
         reading = self._call(
-            lambda: self._direct.read_one(place),
+            lambda: self._direct.read_one(row_key),
             lambda number: RelayedRead(
                 number,
-                place.table,
-                place.part,
-                place.key,
+                row_key.table,
+                row_key.part,
+                row_key.key,
                 True,
             ),
         )
-        return reading.addCallback(only_row)
+        return reading.addCallback(single_row)
 
     def changes(self, table: str, after: int, wait_ms: int) -> Any:
         """See ``RowStore``."""
@@ -139,141 +140,161 @@
         )
 
     def serve(self, message: JobsMessage, peer_id: str) -> None:
-        """Make a peer's call by the direct way, and tell what came of it."""
+        """Make a peer's call directly, and send the response to the peer."""
         assert isinstance(
             message,
             RelayedCommit | RelayedRead | RelayedChanges,
-        ), 'only relayed calls are served'
+        ), 'message must be a relayed call'
         number = message.number
-        if self._clock.now() - self._failed_at < _FAILED_MS:
+        if self._clock.now() - self._direct_failed_at < _REFUSE_PEERS_MS:
             self._peers.answer(peer_id, replace(REFUSED, number=number))
             return
-        calling: Deferred = self._direct_call(message)
-        calling.addCallback(answer_of, number)
-        calling.addErrback(failed_answer, number)
-        calling.addCallback(
-            lambda answer: self._peers.answer(peer_id, answer),
+        call: Deferred = self._call_direct(message)
+        call.addCallback(response_for_outcome, number)
+        call.addErrback(response_for_failure, number)
+        call.addCallback(
+            lambda response: self._peers.answer(peer_id, response),
         )
 
-    def answered(self, answer: RelayedResponse) -> None:
-        """A peer has made a call."""
-        self._questions.answered(answer.number, answer)
+    def answered(self, response: RelayedResponse) -> None:
+        """Handle the response of a peer that has made a call."""
+        self._peer_requests.answered(response.number, response)
 
-    def _direct_call(self, message: JobsMessage) -> Any:
+    def _call_direct(self, message: JobsMessage) -> Any:
         if isinstance(message, RelayedCommit):
-            return self._direct.commit(transaction_of(message))
+            return self._direct.commit(transaction_from_request(message))
         if isinstance(message, RelayedChanges):
             return self._direct.changes(
                 message.table,
                 message.after,
                 message.wait_ms,
             )
-        assert isinstance(message, RelayedRead), 'three kinds are relayed'
-        place = RowKey(message.table, message.part, message.first)
+        assert isinstance(message, RelayedRead), 'unknown relayed call'
+        row_key = RowKey(message.table, message.part, message.first)
         if message.is_single:
-            return self._direct.read_one(place)
+            return self._direct.read_one(row_key)
         return self._direct.read(message.table, message.part, message.first)
 
     @inlineCallbacks
     def _call(
         self,
         direct: Callable[[], Any],
-        relayed: Relayed,
+        build_request: RequestBuilder,
         wait_s: float = 0,
-        doubts: int = _MAX_DOUBTS,
+        max_uncertain: int = _MAX_UNCERTAIN,
     ) -> Any:
         error: Exception | None = None
-        if self._is_turned_away:
+        if self._is_relaying:
             self._probe()
         else:
             try:
                 outcome = yield direct()
-            except (StoreRefused, StoreUncertain) as failed:
-                error = failed
-                self._failed_at = self._clock.now()
+            except (StoreRefused, StoreUncertain) as direct_error:
+                error = direct_error
+                self._direct_failed_at = self._clock.now()
             else:
                 return outcome  # noqa: WPS331 -- a yield is no return value
-        answer = yield self._relay(relayed, _RELAY_S + wait_s, doubts)
-        if is_served(answer):
+        response = yield self._relay(
+            build_request,
+            _RELAY_TIMEOUT_S + wait_s,
+            max_uncertain,
+        )
+        if is_served(response):
             if error is not None:
-                self._turned_away(str(error))
-            return outcome_of(answer)
-        if is_in_doubt(answer):
-            # A peer may have made the call: it is not surely refused.
+                self._start_relaying(str(error))
+            return outcome_from_response(response)
+        if is_uncertain(response):
+            # Not a certain refusal, whatever the direct call returned.
             raise StoreUncertain('a peer may have made the call')
         if error is not None:
             raise error
-        self._is_turned_away = False
+        self._is_relaying = False
         outcome = yield direct()
         return outcome  # noqa: WPS331 -- a yield is no return value
 
     @inlineCallbacks
-    def _relay(self, relayed: Relayed, timeout_s: float, doubts: int) -> Any:
-        """Ask peers until one is served; a deferred ``RelayedResponse``.
+    def _relay(
+        self,
+        build_request: RequestBuilder,
+        timeout_s: float,
+        max_uncertain: int,
+    ) -> Any:
+        """Try peers until one is served; a deferred ``RelayedResponse``.
 
-        After so many ``doubts`` no other peer is asked. A reading is asked of
-        a second one: an entry whose first peer was not served either asked
-        that one alone, again and again, and went on by an old configuration
-        for seconds.
+        Stops after ``max_uncertain`` peers without a certain result. A read
+        is sent to a second peer: otherwise an entry whose first peer was not
+        served either would retry that one only, and would use an old
+        configuration for seconds.
         """
-        if self._clock.now() < self._rests_until:
+        if self._clock.now() < self._relay_paused_until:
             return REFUSED
         for peer_id in self._candidates():
-            answer = yield self._ask(peer_id, relayed, timeout_s)
-            if is_served(answer):
-                return answer
-            doubts -= is_in_doubt(answer)
-            if not doubts:
+            response = yield self._request(peer_id, build_request, timeout_s)
+            if is_served(response):
+                return response
+            max_uncertain -= is_uncertain(response)
+            if not max_uncertain:
                 break
         else:
-            answer = REFUSED
-        self._rests_until = self._clock.now() + _REST_MS
-        return answer
+            response = REFUSED
+        self._relay_paused_until = self._clock.now() + _RELAY_PAUSE_MS
+        return response
 
     @inlineCallbacks
-    def _ask(self, peer_id: str, relayed: Relayed, timeout_s: float) -> Any:
-        """Ask one peer, and note whether it is served."""
-        answer = yield self._questions.ask(peer_id, relayed, timeout_s)
-        if answer is None:
-            answer = IN_DOUBT
-        if is_served(answer):
-            self._peer = peer_id
-        if is_in_doubt(answer):
-            self._unserved_at[peer_id] = self._clock.now()
-        return answer
+    def _request(
+        self,
+        peer_id: str,
+        build_request: RequestBuilder,
+        timeout_s: float,
+    ) -> Any:
+        """Send a request to one peer, and record whether it is served."""
+        response = yield self._peer_requests.ask(
+            peer_id, build_request, timeout_s
+        )
+        if response is None:
+            response = UNCERTAIN
+        if is_served(response):
+            self._preferred_peer = peer_id
+        if is_uncertain(response):
+            self._uncertain_at_by_peer[peer_id] = self._clock.now()
+        return response
 
     def _candidates(self) -> list[str]:
-        """The peer that served last comes first, one in doubt late."""
-        limit = self._clock.now() - _DOUBT_MS
+        """Return the peers to try, in order.
+
+        The peer that was served last comes first; peers that recently gave
+        no certain result come last.
+        """
+        recent_ms = self._clock.now() - _DEPRIORITIZED_MS
         ranked = sorted(
             self._peers.connected_entries,
             key=lambda entry_id: (
-                self._unserved_at.get(entry_id, limit) > limit,
-                entry_id != self._peer,
+                self._uncertain_at_by_peer.get(entry_id, recent_ms) > recent_ms,
+                entry_id != self._preferred_peer,
             ),
         )
         return ranked[:_MAX_PEERS]
 
-    def _turned_away(self, detail: str) -> None:
-        if self._is_turned_away:
+    def _start_relaying(self, detail: str) -> None:
+        if self._is_relaying:
             return
-        self._is_turned_away = True
-        self._probe_at = self._clock.now() + _PROBE_MS
-        log_event(Event.STORE_RELAYED, peer=self._peer, detail=detail)
+        self._is_relaying = True
+        self._probe_at = self._clock.now() + _PROBE_INTERVAL_MS
+        log_event(Event.STORE_RELAYED, peer=self._preferred_peer, detail=detail)
 
     def _probe(self) -> None:
         if self._clock.now() < self._probe_at:
             return
-        self._probe_at = self._clock.now() + _PROBE_MS
-        probing = self._direct.read(ENTRIES_TABLE, '')
-        probing.addCallbacks(self._served_again, self._still_away)
+        self._probe_at = self._clock.now() + _PROBE_INTERVAL_MS
+        probe = self._direct.read(ENTRIES_TABLE, '')
+        probe.addCallbacks(self._on_probe_succeeded, self._on_probe_failed)
 
-    def _served_again(self, _page: Page) -> None:
-        self._is_turned_away = False
-        self._failed_at = _NEVER
+    def _on_probe_succeeded(self, _page: Page) -> None:
+        self._is_relaying = False
+        self._direct_failed_at = _NEVER
         log_event(Event.STORE_DIRECT)
 
-    def _still_away(self, failure: TwistedFailure) -> None:
-        """The next probe tries again."""
+    def _on_probe_failed(self, failure: TwistedFailure) -> None:
+        """Keep relaying until a later probe succeeds."""
         failure.trap(StoreRefused, StoreUncertain)
-        self._failed_at = self._clock.now()
+        self._direct_failed_at = self._clock.now()
--- a/hyssopring/jobs/relay_messages.py
+++ b/hyssopring/jobs/relay_messages.py
@@ -1,19 +1,19 @@
-"""Messages that carry store calls to a peer, and their outcomes back."""
+"""Messages that carry store calls to a peer and the outcomes back."""
 
 from hyssopring.protocol.structs import struct
 
 __all__ = (
-    'RelayedResponse',
     'RelayedChanges',
     'RelayedCommit',
     'RelayedRead',
+    'RelayedResponse',
     'StoredRow',
 )
 
 
 @struct
 class StoredRow:
-    """A row, or where one lies and which version it must have."""
+    """A row, or the key of a row with the version that it must have."""
 
     table: str
     part: str
@@ -25,7 +25,7 @@
 
 @struct
 class RelayedCommit:
-    """Asks a peer to commit a transaction for an entry."""
+    """Requests that a peer commit a transaction."""
 
     number: int
     checks: list[StoredRow]
@@ -35,7 +35,12 @@
 
 @struct
 class RelayedRead:
-    """Asks a peer to read a page of rows, or only the row ``first``."""
+    """Requests that a peer read rows.
+
+    Attributes:
+        first: Key of the first row.
+        is_single: Read only the row ``first``, not a page.
+    """
 
     number: int
     table: str
@@ -46,7 +51,12 @@
 
 @struct
 class RelayedChanges:
-    """Asks a peer what has changed in a table."""
+    """Requests that a peer read the changes of a table.
+
+    Attributes:
+        after: Version after which changes are read.
+        wait_ms: How long the store waits for a change.
+    """
 
     number: int
     table: str
@@ -56,7 +66,12 @@
 
 @struct
 class RelayedResponse:
-    """What the store has answered a peer; ``kind`` is a ``RelayedKind``."""
+    """Outcome of a relayed call.
+
+    Attributes:
+        number: The number in the request.
+        kind: Value of a ``RelayedKind``.
+    """
 
     number: int
     kind: str
--- a/hyssopring/jobs/relayed_calls.py
+++ b/hyssopring/jobs/relayed_calls.py
@@ -1,4 +1,4 @@
-"""Store calls that a peer makes, and their outcomes, as messages."""
+"""Converts relayed store calls and their outcomes to and from messages."""
 
 import enum
 from typing import Final
@@ -6,8 +6,8 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.jobs.relay_messages import (
-    RelayedResponse,
     RelayedCommit,
+    RelayedResponse,
     StoredRow,
 )
 from hyssopring.jobs.relayed_pieces import first_changes, first_rows
@@ -27,25 +27,25 @@
 )
 
 __all__ = (
-    'IN_DOUBT',
     'REFUSED',
+    'UNCERTAIN',
     'RelayedKind',
-    'answer_of',
-    'commit_message',
-    'failed_answer',
-    'is_in_doubt',
+    'commit_request',
     'is_refused',
     'is_served',
-    'only_row',
-    'outcome_of',
-    'transaction_of',
+    'is_uncertain',
+    'outcome_from_response',
+    'response_for_failure',
+    'response_for_outcome',
+    'single_row',
+    'transaction_from_request',
 )
 
 Outcome = Committed | Conflict | Page | Changes | Row | None
 
 
 class RelayedKind(enum.Enum):
-    """What became of a relayed call."""
+    """Outcome of a relayed call."""
 
     COMMITTED = 'committed'
     CONFLICT = 'conflict'
@@ -57,118 +57,131 @@
 
 
 REFUSED: Final = RelayedResponse(0, RelayedKind.REFUSED.value, 0, [], False)
-IN_DOUBT: Final = RelayedResponse(0, RelayedKind.UNCERTAIN.value, 0, [], False)
+UNCERTAIN: Final = RelayedResponse(0, RelayedKind.UNCERTAIN.value, 0, [], False)
 
 
-def commit_message(number: int, transaction: Transaction) -> RelayedCommit:
-    """Return the message that asks a peer to commit a transaction."""
+def commit_request(number: int, transaction: Transaction) -> RelayedCommit:
+    """Return the request to a peer to commit a transaction."""
     return RelayedCommit(
         number,
         [
-            _stored(Row(check.row_key, '', check.version))
+            _stored_row(Row(check.row_key, '', check.version))
             for check in transaction.checks
         ],
-        [_stored(Row(put.row_key, put.text, 0)) for put in transaction.puts],
-        [_stored(Row(place, '', 0)) for place in transaction.removals],
+        [
+            _stored_row(Row(put.row_key, put.text, 0))
+            for put in transaction.puts
+        ],
+        [_stored_row(Row(row_key, '', 0)) for row_key in transaction.removals],
     )
 
 
-def transaction_of(message: RelayedCommit) -> Transaction:
-    """Return the transaction that a peer asks for."""
+def transaction_from_request(request: RelayedCommit) -> Transaction:
+    """Return the transaction in a peer's request."""
     return Transaction(
-        tuple(RowCheck(_place(row), row.version) for row in message.checks),
-        tuple(RowPut(_place(row), row.text) for row in message.puts),
-        tuple(_place(row) for row in message.removals),
+        tuple(RowCheck(_row_key(row), row.version) for row in request.checks),
+        tuple(RowPut(_row_key(row), row.text) for row in request.puts),
+        tuple(_row_key(row) for row in request.removals),
     )
 
 
-def is_refused(answer: RelayedResponse) -> bool:
-    """Whether the call was surely not carried out."""
-    return answer.kind == RelayedKind.REFUSED.value
+def is_refused(response: RelayedResponse) -> bool:
+    """Whether the call was certainly not carried out."""
+    return response.kind == RelayedKind.REFUSED.value
 
 
-def is_in_doubt(answer: RelayedResponse) -> bool:
+def is_uncertain(response: RelayedResponse) -> bool:
     """Whether the call may have been, or may yet be, carried out."""
-    return answer.kind == RelayedKind.UNCERTAIN.value
+    return response.kind == RelayedKind.UNCERTAIN.value
 
 
-def is_served(answer: RelayedResponse) -> bool:
-    """Whether the store has answered the peer."""
-    return not is_refused(answer) and not is_in_doubt(answer)
+def is_served(response: RelayedResponse) -> bool:
+    """Whether the peer got a response from the store."""
+    return not is_refused(response) and not is_uncertain(response)
 
 
-def answer_of(outcome: Outcome, number: int) -> RelayedResponse:
-    """Return the message that tells what the store has answered."""
+def response_for_outcome(outcome: Outcome, number: int) -> RelayedResponse:
+    """Return the response for an outcome of the store, cut if too long."""
     match outcome:
         case Committed(version):
-            return _answer(number, RelayedKind.COMMITTED, (), version)
+            return _response(number, RelayedKind.COMMITTED, (), version)
         case Conflict(rows):
-            return _answer(number, RelayedKind.CONFLICT, rows)
+            return _response(number, RelayedKind.CONFLICT, rows)
         case Page(rows, has_more, version, _):
-            piece = first_rows(rows)
-            page = _answer(number, RelayedKind.PAGE, piece, version)
-            page.has_more = has_more or len(piece) < len(rows)
+            chunk = first_rows(rows)
+            page = _response(number, RelayedKind.PAGE, chunk, version)
+            page.has_more = has_more or len(chunk) < len(rows)
             return page
         case Changes():
-            first = first_changes(outcome)
-            return _answer(
+            changes = first_changes(outcome)
+            return _response(
                 number,
                 RelayedKind.CHANGES,
-                first.rows,
-                first.version,
+                changes.rows,
+                changes.version,
             )
         case Row():
-            return _answer(number, RelayedKind.PAGE, (outcome,))
-    return _answer(number, RelayedKind.PAGE, ())
+            return _response(number, RelayedKind.PAGE, (outcome,))
+    return _response(number, RelayedKind.PAGE, ())
 
 
-def failed_answer(failure: TwistedFailure, number: int) -> RelayedResponse:
-    """Return the message that tells that the store has not answered."""
+def response_for_failure(
+    failure: TwistedFailure, number: int
+) -> RelayedResponse:
+    """Return the response for a failed call to the store."""
     reason = failure.trap(HistoryLost, StoreRefused, StoreUncertain)
     kind_by_error = {
         HistoryLost: RelayedKind.HISTORY_LOST,
         StoreRefused: RelayedKind.REFUSED,
         StoreUncertain: RelayedKind.UNCERTAIN,
     }
-    return _answer(number, kind_by_error[reason], ())
+    return _response(number, kind_by_error[reason], ())
+
 
+def outcome_from_response(response: RelayedResponse) -> Outcome:
+    """Return the outcome in the response to a served call.
 
-def outcome_of(answer: RelayedResponse) -> Outcome:
-    """Return what a served call has come to; raises HistoryLost."""
+    Raises:
+        HistoryLost: The store no longer has the requested changes.
+    """
     rows = tuple(
-        Row(_place(row), row.text, row.version, row.is_removed)
-        for row in answer.rows
+        Row(_row_key(row), row.text, row.version, row.is_removed)
+        for row in response.rows
     )
-    match RelayedKind(answer.kind):
+    match RelayedKind(response.kind):
         case RelayedKind.COMMITTED:
-            return Committed(answer.version)
+            return Committed(response.version)
         case RelayedKind.CONFLICT:
             return Conflict(rows)
         case RelayedKind.PAGE:
-            return Page(rows, answer.has_more, answer.version)
+            return Page(rows, response.has_more, response.version)
         case RelayedKind.CHANGES:
-            return Changes(rows, answer.version)
+            return Changes(rows, response.version)
     raise HistoryLost
 
 
-def only_row(outcome: Row | Page | None) -> Row | None:
-    """The direct way gives the row itself, a peer a page with it or none."""
+def single_row(outcome: Row | Page | None) -> Row | None:
+    """Return the row of a single-row read.
+
+    A direct call returns the row itself; a relayed one returns a page with
+    at most one row.
+    """
     if isinstance(outcome, Page):
         return outcome.rows[0] if outcome.rows else None
     return outcome
 
 
-def _answer(
+def _response(
     number: int,
     kind: RelayedKind,
     rows: tuple[Row, ...],
     version: int = 0,
 ) -> RelayedResponse:
-    stored = [_stored(row) for row in rows]
+    stored = [_stored_row(row) for row in rows]
     return RelayedResponse(number, kind.value, version, stored, False)
 
 
-def _stored(row: Row) -> StoredRow:
+def _stored_row(row: Row) -> StoredRow:
     return StoredRow(
         row.row_key.table,
         row.row_key.part,
@@ -179,5 +192,5 @@
     )
 
 
-def _place(row: StoredRow) -> RowKey:
+def _row_key(row: StoredRow) -> RowKey:
     return RowKey(row.table, row.part, row.key)
--- a/hyssopring/jobs/shard_reader.py
+++ b/hyssopring/jobs/shard_reader.py
@@ -130,8 +130,8 @@
         """Check that this owner still had the shard when rows were read.
 
         Guards against a job that two owners start. A new job is announced to
-        the current owner only, which starts it immediately. A former owner
-        still has authority for some seconds; on finding the job's row it
+        the current owner only, which starts it immediately. A former owner's
+        lease is valid for some more seconds; on finding the job's row it
         would start the job too, on an agent that has not reported to its
         successor yet. The successor wrote its owner row before the job was
         announced to it, so the owner row, read after the job rows, shows it.
