--- a/hyssopring/jobs/links.py
+++ b/hyssopring/jobs/links.py
@@ -1,8 +1,9 @@
-"""Connections that carry the messages about jobs (Twisted shell).
+"""Connections that carry the messages about jobs, on Twisted.
 
-Agents and entries dial entries. The side that dials speaks first and regularly;
-the entry answers each time. A connection on which nothing came for a while is
-dropped: between the two something may have lost track of it.
+Agents and entries connect to entries. The connecting side sends first and
+then periodically; the entry responds each time. A connection on which nothing
+was received for a while is closed, as a device between the two ends may have
+dropped its state.
 """
 
 from typing import Any, Callable, Final, Iterable
@@ -27,51 +28,55 @@
 
 _CODEC: Final = Codec(pack, unpack)
 _CONNECT_TIMEOUT_S: Final = 1
-# The dialler speaks each half second; four missed answers are a lost link.
-_SILENCE_MS: Final = 2000.0
-_REDIAL_MS: Final = 300.0
-_REDIAL_MAX_MS: Final = 1500.0
+# The connecting side sends every half second: this is four missed responses.
+_SILENCE_TIMEOUT_MS: Final = 2000.0
+_MIN_BACKOFF_MS: Final = 300.0
+_MAX_BACKOFF_MS: Final = 1500.0
 
-# So many odd addresses are logged, once each.
-_MAX_ODD: Final = 100
+# Invalid addresses that are logged, once each.
+_MAX_INVALID_ADDRESSES: Final = 100
 _NEVER: Final = float('-inf')
 
-Taken = Callable[[str, JobsMessage], None]
+MessageHandler = Callable[[str, JobsMessage], None]
 
 
 class _Peer:
-    """One connection on the entry's side, named by its greeting."""
+    """An accepted connection; its greeting identifies the peer."""
 
-    def __init__(self, owner: 'LinkListener') -> None:
-        self.owner = owner
+    def __init__(self, listener: 'LinkListener') -> None:
+        self.listener = listener
         self.peer_id = ''
         self.connection: FramedConnection | None = None
 
-    def opened(self, connection: FramedConnection) -> None:
+    def on_open(self, connection: FramedConnection) -> None:
         self.connection = connection
 
-    def received(self, connection: FramedConnection, message: Any) -> None:
+    def on_receive(self, connection: FramedConnection, message: Any) -> None:
         if isinstance(message, AgentGreeting):
             self.peer_id = message.agent_id
-            connection.send(EntryGreeting(self.owner.entry_id))
-            self.owner.greeted(self, message)
+            connection.send(EntryGreeting(self.listener.entry_id))
+            self.listener.handle_greeting(self, message)
         elif isinstance(message, EntryGreeting):
             self.peer_id = message.entry_id
-            connection.send(EntryGreeting(self.owner.entry_id))
-            self.owner.greeted(self, message)
-        elif self.peer_id and self.owner.is_current(self):
-            self.owner.on_message(self.peer_id, message)
+            connection.send(EntryGreeting(self.listener.entry_id))
+            self.listener.handle_greeting(self, message)
+        elif self.peer_id and self.listener.is_current(self):
+            self.listener.on_message(self.peer_id, message)
 
-    def broken(self, connection: FramedConnection, detail: str) -> None:
+    def on_protocol_error(
+        self,
+        connection: FramedConnection,
+        detail: str,
+    ) -> None:
         log_event(Event.PEER_ERROR, peer=self.peer_id, detail=detail)
         connection.abort()
 
-    def closed(self, _connection: FramedConnection) -> None:
-        self.owner.closed(self)
+    def on_close(self, _connection: FramedConnection) -> None:
+        self.listener.handle_close(self)
 
 
 class LinkListener(Factory):
-    """The connections that others have opened to this entry."""
+    """Accepts connections of agents and other entries."""
 
     noisy = False
 
@@ -80,166 +85,177 @@
         clock: Clock,
         entry_id: str,
         on_greeting: Callable[[str, JobsMessage], None],
-        on_message: Taken,
+        on_message: MessageHandler,
         on_close: Callable[[str], None],
     ) -> None:
-        """Tell the owner of greetings, messages and ends, by peer."""
+        """Call back with the peer's id on a greeting, message or close."""
         self._clock = clock
         self.entry_id = entry_id
         self.on_message = on_message
         self._on_greeting = on_greeting
         self._on_close = on_close
         self.traffic = Traffic()
-        self._stalls = StallDetector(clock)
-        self._open: set[_Peer] = set()
-        self._by_id: dict[str, _Peer] = {}
+        self._stall_detector = StallDetector(clock)
+        self._peers: set[_Peer] = set()
+        self._peer_by_id: dict[str, _Peer] = {}
 
     def buildProtocol(self, addr: object) -> FramedConnection:
-        """Take a new connection; it is nobody's before its greeting."""
+        """Accept a connection; its greeting identifies the peer later."""
         peer = _Peer(self)
-        self._open.add(peer)
+        self._peers.add(peer)
         return FramedConnection(
             _CODEC,
             self._clock,
-            peer.opened,
-            peer.received,
-            peer.broken,
-            peer.closed,
+            peer.on_open,
+            peer.on_receive,
+            peer.on_protocol_error,
+            peer.on_close,
             self.traffic,
         )
 
     def send(self, peer_id: str, message: JobsMessage) -> bool:
-        """Write a message; False if the peer has no connection."""
-        peer = self._by_id.get(peer_id)
+        """Send a message; return False if the peer is not connected."""
+        peer = self._peer_by_id.get(peer_id)
         if peer is None or peer.connection is None:
             return False
         peer.connection.send(message)
         return True
 
     def close_silent_connections(self) -> None:
-        """Drop connections on which nothing came; call regularly."""
-        if not self._stalls.record_tick():
+        """Abort connections that timed out; call periodically."""
+        if not self._stall_detector.record_tick():
             return
-        limit = self._clock.now() - _SILENCE_MS
-        for peer in list(self._open):
+        oldest_ms = self._clock.now() - _SILENCE_TIMEOUT_MS
+        for peer in list(self._peers):
             connection = peer.connection
-            if connection is not None and connection.last_heard < limit:
+            if connection is not None and connection.last_heard < oldest_ms:
                 log_event(Event.CONNECTION_SILENT, peer=peer.peer_id)
                 connection.abort()
 
     def is_current(self, peer: _Peer) -> bool:
-        """Whether this is the newest connection of its peer."""
-        return self._by_id.get(peer.peer_id) is peer
+        """Whether this is the peer's newest connection."""
+        return self._peer_by_id.get(peer.peer_id) is peer
+
+    def handle_greeting(self, peer: _Peer, greeting: JobsMessage) -> None:
+        """Register a connection under its peer's id.
 
-    def greeted(self, peer: _Peer, greeting: JobsMessage) -> None:
-        """A connection has said whose it is; repeated greetings are pings."""
-        older = self._by_id.get(peer.peer_id)
+        Repeated greetings serve as pings.
+        """
+        older = self._peer_by_id.get(peer.peer_id)
         if older is peer:
             return
-        self._by_id[peer.peer_id] = peer
+        self._peer_by_id[peer.peer_id] = peer
         if older is not None and older.connection is not None:
             older.connection.abort()
         self._on_greeting(peer.peer_id, greeting)
 
-    def closed(self, peer: _Peer) -> None:
-        """A connection is gone."""
-        self._open.discard(peer)
+    def handle_close(self, peer: _Peer) -> None:
+        """Remove a closed connection."""
+        self._peers.discard(peer)
         if peer.peer_id and self.is_current(peer):
-            self._by_id.pop(peer.peer_id)
+            self._peer_by_id.pop(peer.peer_id)
             self._on_close(peer.peer_id)
 
 
-class _Dialled(Factory):
-    """One address that is dialled again and again."""
+class _DialledAddress(Factory):
+    """An address to which a connection is kept, with backoff."""
 
     noisy = False
 
-    def __init__(self, owner: 'LinkDialler', address: str) -> None:
-        self.owner = owner
+    def __init__(self, dialler: 'LinkDialler', address: str) -> None:
+        self.dialler = dialler
         self.address = address
         self.entry_id = ''
         self.connection: FramedConnection | None = None
         self.is_dialling = False
-        self.next_at = _NEVER
-        self.pause_ms = _REDIAL_MS
-        self.greeted_at = _NEVER
+        self.next_dial_at = _NEVER
+        self.backoff_ms = _MIN_BACKOFF_MS
+        self.greeting_sent_at = _NEVER
 
     def buildProtocol(self, addr: object) -> FramedConnection:
         return FramedConnection(
             _CODEC,
-            self.owner.clock,
+            self.dialler.clock,
             self._opened,
             self._received,
-            self._broken,
+            self._on_protocol_error,
             self._closed,
-            self.owner.traffic,
+            self.dialler.traffic,
         )
 
-    def tick(self, now: float, may_judge: bool) -> None:
+    def tick(self, now_ms: float, can_check_silence: bool) -> None:
         if self.connection is not None:
-            self._check(self.connection, now, may_judge)
-        elif not self.is_dialling and now >= self.next_at:
+            self._check_connection(self.connection, now_ms, can_check_silence)
+        elif not self.is_dialling and now_ms >= self.next_dial_at:
             self.is_dialling = True
             host, port = parse_address(self.address)
             endpoint = TCP4ClientEndpoint(
-                self.owner.reactor,
+                self.dialler.reactor,
                 host,
                 port,
                 timeout=_CONNECT_TIMEOUT_S,
             )
-            endpoint.connect(self).addErrback(self._failed)
+            endpoint.connect(self).addErrback(self._on_connect_failed)
 
     def close(self) -> None:
         if self.connection is not None:
             self.connection.close()
 
-    def _check(
+    def _check_connection(
         self,
         connection: FramedConnection,
-        now: float,
-        may_judge: bool,
+        now_ms: float,
+        can_check_silence: bool,
     ) -> None:
-        if may_judge and now - connection.last_heard > _SILENCE_MS:
+        if (
+            can_check_silence
+            and now_ms - connection.last_heard > _SILENCE_TIMEOUT_MS
+        ):
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             connection.abort()
-        elif self.owner.is_pinging and now - self.greeted_at >= _PING_MS:
-            self.greeted_at = now
-            connection.send(self.owner.greeting)
+        elif (
+            self.dialler.is_pinging
+            and now_ms - self.greeting_sent_at >= _PING_INTERVAL_MS
+        ):
+            self.greeting_sent_at = now_ms
+            connection.send(self.dialler.greeting)
 
     def _opened(self, connection: FramedConnection) -> None:
         self.is_dialling = False
         self.connection = connection
-        self.greeted_at = self.owner.clock.now()
-        connection.send(self.owner.greeting)
+        self.greeting_sent_at = self.dialler.clock.now()
+        connection.send(self.dialler.greeting)
 
     def _received(self, _connection: FramedConnection, message: Any) -> None:
         if isinstance(message, EntryGreeting):
             if not self.entry_id:
                 self.entry_id = message.entry_id
-                self.pause_ms = _REDIAL_MS
-                self.owner.greeted(self)
-        elif self.owner.is_current(self):
-            self.owner.on_message(self.entry_id, message)
+                self.backoff_ms = _MIN_BACKOFF_MS
+                self.dialler.handle_greeting(self)
+        elif self.dialler.is_current(self):
+            self.dialler.on_message(self.entry_id, message)
 
-    def _broken(self, connection: FramedConnection, detail: str) -> None:
+    def _on_protocol_error(
+        self, connection: FramedConnection, detail: str
+    ) -> None:
         log_event(Event.PEER_ERROR, entry=self.address, detail=detail)
         connection.abort()
 
     def _closed(self, _connection: FramedConnection) -> None:
-        self._failed(None)
+        self._on_connect_failed(None)
 
-    def _failed(self, _reason: Any) -> None:
+    def _on_connect_failed(self, _reason: Any) -> None:
         entry_id = self.entry_id
         self.is_dialling = False
         self.connection = None
         self.entry_id = ''
-        self.next_at = self.owner.clock.now() + self.pause_ms
-        self.pause_ms = min(2 * self.pause_ms, _REDIAL_MAX_MS)
+        self.next_dial_at = self.dialler.clock.now() + self.backoff_ms
+        self.backoff_ms = min(2 * self.backoff_ms, _MAX_BACKOFF_MS)
         if entry_id:
-            self.owner.closed(self, entry_id)
+            self.dialler.handle_close(self, entry_id)
 
 
-_PING_MS: Final = _SILENCE_MS / 4
+_PING_INTERVAL_MS: Final = _SILENCE_TIMEOUT_MS / 4
 
 
 class LinkDialler:
@@ -251,10 +267,13 @@
         clock: Clock,
         greeting: JobsMessage,
         on_open: Callable[[str], None],
-        on_message: Taken,
+        on_message: MessageHandler,
         on_close: Callable[[str], None],
     ) -> None:
-        """Greet each entry; one entry greets another again as a ping."""
+        """Send ``greeting`` on each connection.
+
+        An entry repeats its greeting periodically, as a ping.
+        """
         self.reactor = reactor
         self.clock = clock
         self.greeting = greeting
@@ -263,67 +282,70 @@
         self._on_open = on_open
         self._on_close = on_close
         self.traffic = Traffic()
-        self._stalls = StallDetector(clock)
-        self._by_address: dict[str, _Dialled] = {}
-        self._odd: set[str] = set()
-        self._by_entry: dict[str, _Dialled] = {}
+        self._stall_detector = StallDetector(clock)
+        self._by_address: dict[str, _DialledAddress] = {}
+        self._invalid_addresses: set[str] = set()
+        self._dialled_by_entry: dict[str, _DialledAddress] = {}
 
     @property
     def connected(self) -> list[str]:
         """Ids of the connected entries."""
-        return list(self._by_entry)
+        return list(self._dialled_by_entry)
 
     def add_addresses(self, addresses: Iterable[str]) -> None:
-        """Dial these addresses too from now on."""
+        """Keep a connection to these addresses, too."""
         for address in addresses:
-            if address in self._by_address or address in self._odd:
+            if (
+                address in self._by_address
+                or address in self._invalid_addresses
+            ):
                 continue
             if is_address(address):
-                self._by_address[address] = _Dialled(self, address)
-            elif len(self._odd) < _MAX_ODD:
-                self._odd.add(address)
-                detail = 'no address to dial'
+                self._by_address[address] = _DialledAddress(self, address)
+            elif len(self._invalid_addresses) < _MAX_INVALID_ADDRESSES:
+                self._invalid_addresses.add(address)
+                detail = 'invalid address: not host:port'
                 log_event(Event.PEER_ERROR, entry=address, detail=detail)
 
     def set_addresses(self, addresses: Iterable[str]) -> None:
-        """Dial these addresses and drop all others."""
+        """Keep connections to these addresses only; close all others."""
         wanted = set(addresses)
         self.add_addresses(wanted)
         for address in self._by_address.keys() - wanted:
             self._by_address.pop(address).close()
 
     def tick(self) -> None:
-        """Dial what is due and drop what is silent; call regularly."""
-        now = self.clock.now()
-        may_judge = self._stalls.record_tick()
+        """Dial due addresses, abort silent connections; call periodically."""
+        now_ms = self.clock.now()
+        can_check_silence = self._stall_detector.record_tick()
         for dialled in list(self._by_address.values()):
-            dialled.tick(now, may_judge)
+            dialled.tick(now_ms, can_check_silence)
 
     def send(self, entry_id: str, message: JobsMessage) -> bool:
-        """Write a message; False if the entry is not connected."""
-        dialled = self._by_entry.get(entry_id)
+        """Send a message; return False if the entry is not connected."""
+        dialled = self._dialled_by_entry.get(entry_id)
         if dialled is None or dialled.connection is None:
             return False
         dialled.connection.send(message)
         return True
 
-    def greeted(self, dialled: _Dialled) -> None:
-        """An entry has answered the greeting."""
-        self._by_entry[dialled.entry_id] = dialled
+    def handle_greeting(self, dialled: _DialledAddress) -> None:
+        """Register a connection whose entry has responded to the greeting."""
+        self._dialled_by_entry[dialled.entry_id] = dialled
         self._on_open(dialled.entry_id)
 
-    def is_current(self, dialled: _Dialled) -> bool:
+    def is_current(self, dialled: _DialledAddress) -> bool:
         """Whether this is the newest connection to its entry.
 
-        An entry may be known by two addresses, or be back at another one
-        while its old connection hangs.
+        An entry may be known by two addresses, or return at another address
+        while its old connection is still open.
         """
-        return self._by_entry.get(dialled.entry_id) is dialled
+        return self._dialled_by_entry.get(dialled.entry_id) is dialled
 
-    def closed(self, dialled: _Dialled, entry_id: str) -> None:
-        """A connection to an entry is gone; a newer one may be there."""
-        if self._by_entry.get(entry_id) is dialled:
-            self._by_entry.pop(entry_id)
+    def handle_close(self, dialled: _DialledAddress, entry_id: str) -> None:
+        """Remove a closed connection, unless a newer one has replaced it."""
+        if self._dialled_by_entry.get(entry_id) is dialled:
+            self._dialled_by_entry.pop(entry_id)
             self._on_close(entry_id)
 
 
