--- a/hyssopring/jobs/__init__.py
+++ b/hyssopring/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of steps: what they are, who owns them, where their tasks run."""
+"""Scheduling of jobs: model, ownership of shards, placement of tasks."""
--- a/hyssopring/jobs/configuration_messages.py
+++ b/hyssopring/jobs/configuration_messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of configurations, as messages."""
+"""Messages by which entries exchange configurations."""
 
 from typing import Final
 
@@ -12,24 +12,26 @@
     'ConfigurationText',
 )
 
-# The part that an entry asks for which knows no parts.
+# Requested by entries of a release that does not know parts.
 WHOLE: Final = -1
 
 
 @struct
 class ConfigurationNotice:
-    """The sender has this version of the configuration in force."""
+    """Announces the version that the sender has in force."""
 
     version: int
 
 
 @struct
 class ConfigurationRequest:
-    """Asks for the configuration, if the receiver has this version.
+    """Requests a configuration of at least a version.
 
     Attributes:
-        part: Which part of the packed text, from 0; ``WHOLE`` asks for a
-            ``ConfigurationText``.
+        version: Lowest version; a receiver with an older one in force does
+            not respond.
+        part: Index of the part of the compressed text, from 0; ``WHOLE``
+            requests a ``ConfigurationText``.
     """
 
     version: int
@@ -38,21 +40,21 @@
 
 @struct
 class ConfigurationText:
-    """The configuration that the sender has in force, as it is stored."""
+    """The stored text of the configuration that the sender has in force."""
 
     text: str
 
 
 @struct
 class ConfigurationPart:
-    """A part of the packed configuration that the sender has in force.
+    """A part of the compressed configuration that the sender has in force.
 
     Attributes:
-        version: Of the configuration; may be newer than the asked one.
-        row_version: The store's version of the row that holds it.
-        part: From 0.
-        parts: How many there are.
-        packed: Some of the compressed text's bytes, in base64.
+        version: Version of the configuration; may be newer than requested.
+        row_version: Version of the store's row that holds it.
+        part: Index of the part, from 0.
+        parts: Number of parts.
+        packed: The part's bytes of the compressed text, in base64.
     """
 
     version: int
--- a/hyssopring/jobs/stored_configuration.py
+++ b/hyssopring/jobs/stored_configuration.py
@@ -1,7 +1,7 @@
-"""A configuration as the store holds it, packed and cut for narrow links.
+"""A stored configuration, compressed and split for narrow links.
 
-A text of 2,800 queues, 0.64 MB, becomes 40 KB. On a link of 5 Mbit/s that is
-0.15 s in base64; the store's answer, in base64 as well, takes 2.4 s.
+A text with 2,800 queues, 0.64 MB, is compressed to 40 KB. In base64 that takes
+0.15 s on a link of 5 Mbit/s; the store's response, also in base64, 2.4 s.
 """
 
 import base64
@@ -13,30 +13,30 @@
 from hyssopring.jobs.configuration_messages import ConfigurationPart
 
 __all__ = (
-    'GatheredParts',
+    'MalformedPartsError',
     'PackedConfiguration',
+    'ReceivedParts',
     'StoredConfiguration',
-    'MalformedPartsError',
 )
 
-# One part takes 0.06 s of a link of 5 Mbit/s, beside the store's own answer
-# 0.13 s: grants and signs of life behind it are not held up.
+# A part takes 0.06 s on a link of 5 Mbit/s, or 0.13 s beside the store's own
+# response, so that it does not delay lease renewals and heartbeats behind it.
 _PART_BYTES: Final = 16 * 1024
-# A text of the longest answer that is taken of the store.
+# Longest response that is accepted from the store.
 _MAX_TEXT_BYTES: Final = 8 * 1024 * 1024
 _MAX_PARTS: Final = _MAX_TEXT_BYTES // _PART_BYTES
 
 
 class MalformedPartsError(Exception):
-    """A peer's parts do not make a text."""
+    """The parts that a peer has sent do not decode to a text."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A configuration's text, as the operator wrote it.
+    """A configuration's text as the operator wrote it.
 
     Attributes:
-        row_version: The store's version of its row; 0 if it is not known.
+        row_version: Version of its row in the store; 0 if unknown.
     """
 
     text: str
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedConfiguration:
-    """One version in parts that fit on a narrow link beside other messages."""
+    """A compressed configuration in parts for narrow links."""
 
     version: int
     row_version: int
@@ -57,14 +57,14 @@
         version: int,
         stored: StoredConfiguration,
     ) -> 'PackedConfiguration':
-        """Compress a text and cut it."""
+        """Compress a text and split it into parts."""
         packed = zlib.compress(stored.text.encode())
         starts = range(0, len(packed), _PART_BYTES)
         parts = tuple(packed[start : start + _PART_BYTES] for start in starts)
         return cls(version, stored.row_version, parts)
 
     def message(self, number: int) -> ConfigurationPart | None:
-        """Return a part as it is sent; None if there is no such part."""
+        """Return the message for a part, or None if the part does not exist."""
         if not 0 <= number < len(self.parts):
             return None
         return ConfigurationPart(
@@ -76,31 +76,37 @@
         )
 
 
-class GatheredParts:
-    """The parts of one version that have come from one holder."""
+class ReceivedParts:
+    """The parts of one version that one entry has sent, in order."""
 
     def __init__(self, first: ConfigurationPart) -> None:
-        """Begin with any part of a version; raises ``MalformedPartsError``."""
+        """Take version and number of parts from any part of the version.
+
+        The part itself is not stored.
+
+        Raises:
+            MalformedPartsError: The number of parts is out of range.
+        """
         if not 0 < first.parts <= _MAX_PARTS:
-            raise MalformedPartsError(f'{first.parts} parts')
+            raise MalformedPartsError(f'number of parts is {first.parts}')
         self.version = first.version
         self._row_version = first.row_version
-        self._count = first.parts
+        self._part_count = first.parts
         self._parts: list[bytes] = []
 
     @property
     def next_number(self) -> int:
-        """The part to ask for."""
+        """Index of the next missing part."""
         return len(self._parts)
 
     @property
-    def is_whole(self) -> bool:
-        """Whether all parts are here."""
-        return self.next_number >= self._count
+    def is_complete(self) -> bool:
+        """Whether all parts have arrived."""
+        return self.next_number >= self._part_count
 
     def add(self, part: ConfigurationPart) -> None:
-        """Take the next part; another one changes nothing."""
-        if part.part != self.next_number or self.is_whole:
+        """Store the next part; any other part is ignored."""
+        if part.part != self.next_number or self.is_complete:
             return
         try:
             packed = base64.b64decode(part.packed, validate=True)
@@ -109,13 +115,15 @@
         self._parts.append(packed)
 
     def stored(self) -> StoredConfiguration:
-        """Unpack the whole; raises ``MalformedPartsError``."""
-        unpacking = zlib.decompressobj()
+        """Decompress all parts; raises ``MalformedPartsError``."""
+        decompressor = zlib.decompressobj()
         packed = b''.join(self._parts)
         try:
-            text = unpacking.decompress(packed, _MAX_TEXT_BYTES).decode()
+            text = decompressor.decompress(packed, _MAX_TEXT_BYTES).decode()
         except (zlib.error, UnicodeDecodeError) as error:
             raise MalformedPartsError(str(error)) from error
-        if not unpacking.eof:
-            raise MalformedPartsError('the packed text is cut or too long')
+        if not decompressor.eof:
+            raise MalformedPartsError(
+                'compressed text is truncated or too long'
+            )
         return StoredConfiguration(text, self._row_version)
--- a/tests/test_jobs_configuration.py
+++ b/tests/test_jobs_configuration.py
@@ -1,4 +1,4 @@
-"""A newer configuration reaches entries that the store does not answer."""
+"""Entries without a response from the store get new configurations."""
 
 import pytest
 from twisted.internet.defer import Deferred, succeed
@@ -17,95 +17,99 @@
 SEVEN = StoredConfiguration('seven', 70)
 
 
-def followed(deployment):
-    """What each entry is told by its peers, by the entry's name."""
-    told = {name: [] for name in deployment.entries}
+def record_received(deployment):
+    """Record the configurations that each entry gets from its peers."""
+    received_by_entry = {name: [] for name in deployment.entries}
     for name, entry in deployment.entries.items():
-        entry.core.configuration.on_stored = told[name].append
-    return told
+        entry.core.configuration.on_stored = received_by_entry[name].append
+    return received_by_entry
 
 
-def count_texts(deployment):
-    """Count the texts that are sent from now on."""
+def record_sent_texts(deployment):
+    """Record the receivers of configuration texts sent from now on."""
     sent = []
     for entry in deployment.entries.values():
-        carry = entry.answer
+        send_original = entry.answer
 
-        def answer(peer_id, message, carry=carry):
+        def answer(peer_id, message, send_original=send_original):
             if isinstance(message, (ConfigurationText, ConfigurationPart)):
                 sent.append(peer_id)
-            return carry(peer_id, message)
+            return send_original(peer_id, message)
 
         entry.answer = answer
     return sent
 
 
-def test_an_entry_that_the_store_ignores_learns_from_its_peers():
-    """The store ignores one entry and tells the others of a new version.
+def test_entry_ignored_by_the_store_gets_configuration_from_peers():
+    """The store ignores one entry and sends a new version to the others.
 
-    The entry noticed after two seconds that the store is silent, asked a peer
-    that was ignored as well, and answered callers by the former version
-    3.8 s after the new one was acknowledged.
+    The entry took two seconds to detect that the store did not respond, then
+    asked a peer that was ignored as well, and still served callers by the
+    old version 3.8 s after the new one was acknowledged.
     """
     deployment = settled()
-    told = followed(deployment)
+    received_by_entry = record_received(deployment)
     for name in ('entry-0', 'entry-1'):
         deployment.entries[name].core.configuration.applied(7, SEVEN)
     deployment.run(0.5)
-    assert told == {'entry-0': [], 'entry-1': [], 'entry-2': [SEVEN]}
+    assert received_by_entry == {
+        'entry-0': [],
+        'entry-1': [],
+        'entry-2': [SEVEN],
+    }
 
 
-def test_no_text_is_sent_to_entries_that_the_store_answers():
-    """All entries have the new version some milliseconds apart."""
+def test_no_text_is_sent_to_entries_that_the_store_serves():
+    """All entries get the new version within some milliseconds."""
     deployment = settled()
-    sent = count_texts(deployment)
-    told = followed(deployment)
+    sent = record_sent_texts(deployment)
+    received_by_entry = record_received(deployment)
     for entry in deployment.entries.values():
         entry.core.configuration.applied(7, SEVEN)
         deployment.run(0.05)
     deployment.run(2)
     assert not sent
-    assert not any(told.values())
+    assert not any(received_by_entry.values())
 
 
-def test_a_holder_that_dies_is_passed_over_for_the_next_one():
-    """Two entries have a new version, and the first to say so is killed."""
+def test_next_holder_is_asked_when_the_first_one_dies():
+    """Two entries announce a new version, and the first is killed."""
     deployment = settled()
-    told = followed(deployment)
+    received_by_entry = record_received(deployment)
     deployment.entries['entry-0'].core.configuration.applied(7, SEVEN)
     deployment.run(0.1)
     deployment.entries['entry-1'].core.configuration.applied(7, SEVEN)
     deployment.run(0.1)
     deployment.kill_entry('entry-0')
     deployment.run(1)
-    assert told['entry-2'] == [SEVEN]
+    assert received_by_entry['entry-2'] == [SEVEN]
 
 
-def test_an_entry_that_starts_while_the_store_is_away_learns_the_version():
-    """A new entry dials the others, and the store answers nobody."""
+def test_entry_that_starts_during_a_store_outage_gets_the_version():
+    """A new entry connects to the others; the store responds to nobody."""
     deployment = settled()
-    told = followed(deployment)
+    received_by_entry = record_received(deployment)
     holder, newcomer = deployment.entries['entry-0'], 'entry-1'
     holder.core.configuration.applied(7, SEVEN)
-    told[newcomer].clear()
+    received_by_entry[newcomer].clear()
     deployment.run(1)
-    told[newcomer].clear()
+    received_by_entry[newcomer].clear()
     holder.core.configuration.greeted(newcomer)
     deployment.run(0.5)
-    assert told[newcomer] == [SEVEN]
+    assert received_by_entry[newcomer] == [SEVEN]
 
 
-def test_an_older_text_of_a_peer_does_not_replace_the_one_in_force():
-    """A peer's answer comes after the store has told of a newer version."""
+def test_older_text_of_a_peer_does_not_replace_the_one_in_force():
+    """A peer's response comes after a newer version of the store."""
     reactor, tables = Clock(), []
 
-    class Silent:
+    class UnresponsiveStore:
         def read(self, *_asked):
             return Deferred()
 
     follower = ConfigurationFollower(
         reactor,
-        Silent(),
+        UnresponsiveStore(),
         lambda table, _stored: tables.append(table.version),
     )
     follower.start()
@@ -114,8 +118,8 @@
     assert tables == [7, 9]
 
 
-class _History:
-    """A store whose first answer holds some versions of the row."""
+class _StoreWithHistory:
+    """A store whose first response holds several versions of the row."""
 
     def __init__(self, *texts):
         self._rows = tuple(
@@ -138,17 +142,15 @@
         (('no configuration',), []),
     ],
 )
-def test_of_versions_that_come_together_only_the_newest_is_read(
-    texts, in_force
-):
-    """Each is whole, and an entry of a third of a core reads one at a time.
+def test_only_the_newest_of_several_versions_is_parsed(texts, in_force):
+    """An entry with a third of a core is slow to parse whole versions.
 
-    One that another writer has garbled does not hide the one before it.
+    A malformed version does not hide the valid one before it.
     """
     tables = []
     follower = ConfigurationFollower(
         Clock(),
-        _History(*texts),
+        _StoreWithHistory(*texts),
         lambda table, _stored: tables.append(table.version),
     )
     follower.start()
--- a/tests/test_jobs_configuration_parts.py
+++ b/tests/test_jobs_configuration_parts.py
@@ -1,4 +1,4 @@
-"""A configuration passed on in parts, with what may go wrong on the way."""
+"""Transfer of a configuration in parts, and faults during the transfer."""
 
 import base64
 import zlib
@@ -26,7 +26,7 @@
 
 
 class Peers:
-    """Keeps what is sent, by receiver."""
+    """Records the messages that are sent, with their receivers."""
 
     connected_entries = ()
 
@@ -43,120 +43,126 @@
         return self.sent[-1]
 
 
-class Asker:
-    """An entry that has heard of version 7 at two holders."""
+class Requester:
+    """An entry that was told of version 7 by two holders."""
 
     def __init__(self, version=SEVEN, holders=('one', 'two')):
-        self.clock, self.peers, self.taken = Clock(), Peers(), []
+        self.clock, self.peers, self.received = Clock(), Peers(), []
         self.shared = SharedConfiguration(self.clock, self.peers)
-        self.shared.on_stored = self._take
+        self.shared.on_stored = self._on_stored
         for holder in holders:
             self.shared.handle_message(ConfigurationNotice(version), holder)
         self.clock.advance(0.25)
 
-    def _take(self, stored):
-        self.taken.append(stored)
+    def _on_stored(self, stored):
+        self.received.append(stored)
         version = {LARGE: SEVEN, LARGER: EIGHT}[stored]
         self.shared.applied(version, stored)
 
-    def tell(self, holder, message):
+    def deliver(self, holder, message):
         self.shared.handle_message(message, holder)
 
     def get_all_from(self, name, holder):
-        """Answer questions until none is asked of this holder any more."""
+        """Serve requests until no more are sent to this holder."""
         count = -1
         while len(self.peers.sent) > count and self.peers.last()[0] == name:
             count = len(self.peers.sent)
-            answer = asked(holder, self.peers.last()[1])
-            if answer is not None:
-                self.tell(name, answer)
+            response = response_of(holder, self.peers.last()[1])
+            if response is not None:
+                self.deliver(name, response)
 
 
-def a_holder(version=SEVEN, stored=LARGE):
+def create_holder(version=SEVEN, stored=LARGE):
     holder = SharedConfiguration(Clock(), Peers())
     holder.applied(version, stored)
     return holder
 
 
-def asked(holder, question):
-    """What a holder answers, None for nothing."""
-    before = len(holder._peers.sent)
-    holder.handle_message(question, 'asker')
-    return holder._peers.last()[1] if holder._peers.sent[before:] else None
+def response_of(holder, request):
+    """Return the response of a holder to a request, or None."""
+    count = len(holder._peers.sent)
+    holder.handle_message(request, 'requester')
+    return holder._peers.last()[1] if holder._peers.sent[count:] else None
 
 
-def test_a_configuration_in_parts_arrives_as_it_was():
-    asker = Asker()
-    asker.get_all_from('one', a_holder())
-    assert asker.taken == [LARGE]
-    # One question a part, and none once it is whole.
-    assert [message.part for _to, message in asker.peers.sent] == [0, 1, 2, 3]
+def test_configuration_in_parts_arrives_unchanged():
+    requester = Requester()
+    requester.get_all_from('one', create_holder())
+    assert requester.received == [LARGE]
+    # One request a part, and none once all parts have arrived.
+    assert [message.part for _to, message in requester.peers.sent] == [
+        0,
+        1,
+        2,
+        3,
+    ]
 
 
-def test_a_holder_that_falls_silent_between_parts_is_passed_over():
-    """The first holder is killed after two parts: the second gives them all.
+def test_next_holder_sends_all_parts_when_the_first_one_stops():
+    """The first holder is killed after two parts.
 
-    Both may have packed the text by different versions of the library.
+    Parts of two holders are not combined: their compression libraries may
+    have different versions.
     """
-    asker = Asker()
-    holder = a_holder()
+    requester = Requester()
+    holder = create_holder()
     for _part in range(2):
-        asker.tell('one', asked(holder, asker.peers.last()[1]))
-    asker.clock.advance(0.4)
-    assert asker.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
-    asker.get_all_from('two', a_holder())
-    assert asker.taken == [LARGE]
+        requester.deliver('one', response_of(holder, requester.peers.last()[1]))
+    requester.clock.advance(0.4)
+    assert requester.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
+    requester.get_all_from('two', create_holder())
+    assert requester.received == [LARGE]
 
 
-def test_a_slow_link_does_not_pass_a_holder_over():
-    """Each part takes 0.3 s, all of them over a second."""
-    asker = Asker()
-    holder = a_holder()
+def test_slow_link_does_not_time_out():
+    """Each part takes 0.3 s, all of them more than a second."""
+    requester = Requester()
+    holder = create_holder()
     for _part in range(4):
-        asker.clock.advance(0.3)
-        asker.tell('one', asked(holder, asker.peers.last()[1]))
-    assert asker.taken == [LARGE]
-    assert all(to == 'one' for to, _message in asker.peers.sent)
+        requester.clock.advance(0.3)
+        requester.deliver('one', response_of(holder, requester.peers.last()[1]))
+    assert requester.received == [LARGE]
+    assert all(to == 'one' for to, _message in requester.peers.sent)
 
 
-def test_a_holder_that_takes_a_newer_version_meanwhile_gives_that_one():
-    """A change comes between two parts: halves of two texts make none."""
-    asker = Asker()
-    holder = a_holder()
-    asker.tell('one', asked(holder, asker.peers.last()[1]))
+def test_newer_version_of_the_holder_restarts_the_transfer():
+    """A change between two parts must not combine parts of two texts."""
+    requester = Requester()
+    holder = create_holder()
+    requester.deliver('one', response_of(holder, requester.peers.last()[1]))
     holder.applied(EIGHT, LARGER)
-    asker.get_all_from('one', holder)
-    assert asker.taken == [LARGER]
+    requester.get_all_from('one', holder)
+    assert requester.received == [LARGER]
 
 
-def test_a_newer_version_that_another_entry_tells_of_is_asked_for_next():
-    """The holder that is being asked has only the version before."""
-    asker = Asker()
-    holder = a_holder()
-    asker.tell('one', asked(holder, asker.peers.last()[1]))
-    asker.tell('three', ConfigurationNotice(EIGHT))
-    asker.get_all_from('one', holder)
-    assert asker.taken == [LARGE]
-    asker.get_all_from('three', a_holder(EIGHT, LARGER))
-    assert asker.taken == [LARGE, LARGER]
+def test_newer_version_of_another_entry_is_requested_next():
+    """The holder that sends parts has only the version before."""
+    requester = Requester()
+    holder = create_holder()
+    requester.deliver('one', response_of(holder, requester.peers.last()[1]))
+    requester.deliver('three', ConfigurationNotice(EIGHT))
+    requester.get_all_from('one', holder)
+    assert requester.received == [LARGE]
+    requester.get_all_from('three', create_holder(EIGHT, LARGER))
+    assert requester.received == [LARGE, LARGER]
 
 
-def test_a_part_that_comes_twice_asks_for_nothing_twice():
-    asker = Asker()
-    part = asked(a_holder(), asker.peers.last()[1])
-    asker.tell('one', part)
-    asker.tell('one', part)
-    assert [message.part for _to, message in asker.peers.sent] == [0, 1]
+def test_duplicate_part_causes_no_duplicate_request():
+    requester = Requester()
+    part = response_of(create_holder(), requester.peers.last()[1])
+    requester.deliver('one', part)
+    requester.deliver('one', part)
+    assert [message.part for _to, message in requester.peers.sent] == [0, 1]
 
 
-def test_parts_stop_once_the_store_has_told_of_the_version():
-    asker = Asker()
-    part = asked(a_holder(), asker.peers.last()[1])
-    asker.shared.applied(SEVEN, LARGE)
-    asker.tell('one', part)
-    asker.clock.advance(2)
-    assert len(asker.peers.sent) == 1
-    assert not asker.taken
+def test_transfer_stops_when_the_store_delivers_the_version():
+    requester = Requester()
+    part = response_of(create_holder(), requester.peers.last()[1])
+    requester.shared.applied(SEVEN, LARGE)
+    requester.deliver('one', part)
+    requester.clock.advance(2)
+    assert len(requester.peers.sent) == 1
+    assert not requester.received
 
 
 def _packed(raw):
@@ -164,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    'odd',
+    'malformed',
     [
         ConfigurationPart(SEVEN, 70, 0, 1, 'no base64'),
         ConfigurationPart(SEVEN, 70, 0, 1, _packed(b'not compressed')),
@@ -177,47 +183,49 @@
         ConfigurationPart(SEVEN, 70, 0, 10**9, ''),
     ],
 )
-def test_odd_parts_are_refused_and_the_next_holder_is_asked(odd):
-    """A peer's parts make no text, or one longer than the store's may be."""
-    asker = Asker()
-    asker.tell('one', odd)
-    assert not asker.taken
-    assert asker.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
+def test_malformed_parts_are_rejected_and_the_next_holder_is_asked(malformed):
+    """The parts decode to no text, or to one longer than the store allows."""
+    requester = Requester()
+    requester.deliver('one', malformed)
+    assert not requester.received
+    assert requester.peers.last() == ('two', ConfigurationRequest(SEVEN, 0))
 
 
-def test_parts_that_nobody_asked_for_are_dropped():
-    asker = Asker()
-    asker.tell('three', asked(a_holder(), ConfigurationRequest(SEVEN, 0)))
-    assert len(asker.peers.sent) == 1
+def test_unrequested_parts_are_dropped():
+    requester = Requester()
+    requester.deliver(
+        'three', response_of(create_holder(), ConfigurationRequest(SEVEN, 0))
+    )
+    assert len(requester.peers.sent) == 1
 
 
-def test_a_part_that_there_is_not_is_not_answered():
-    assert asked(a_holder(), ConfigurationRequest(SEVEN, 99)) is None
-    assert asked(a_holder(), ConfigurationRequest(EIGHT, 0)) is None
+def test_request_for_an_unknown_part_gets_no_response():
+    assert response_of(create_holder(), ConfigurationRequest(SEVEN, 99)) is None
+    assert response_of(create_holder(), ConfigurationRequest(EIGHT, 0)) is None
 
 
 @struct
-class _QuestionWithoutParts:
+class _RequestWithoutParts:
     version: int
 
 
-def test_an_entry_of_the_release_before_gets_the_whole_text():
-    """Entries are upgraded in turn: its question names no part."""
+def test_entry_of_the_previous_release_gets_the_whole_text():
+    """Entries are upgraded one by one; old requests name no part."""
     code = 24
-    payload = bytes((code,)) + write_struct(_QuestionWithoutParts(SEVEN))
-    answer = asked(a_holder(), unpack(payload))
-    assert answer == ConfigurationText(LARGE.text)
+    payload = bytes((code,)) + write_struct(_RequestWithoutParts(SEVEN))
+    response = response_of(create_holder(), unpack(payload))
+    assert response == ConfigurationText(LARGE.text)
 
 
-def test_an_entry_of_the_release_before_can_read_a_question():
-    """It knows no parts, passes the field over, and gives the whole text."""
+def test_entry_of_the_previous_release_can_read_a_request():
+    """It skips the unknown field and responds with the whole text."""
     payload = write_struct(ConfigurationRequest(SEVEN, 3))
-    question = read_struct(_QuestionWithoutParts, payload)
-    assert question == _QuestionWithoutParts(SEVEN)
+    request = read_struct(_RequestWithoutParts, payload)
+    assert request == _RequestWithoutParts(SEVEN)
 
 
-def test_an_entry_of_the_release_before_may_answer_with_the_whole_text():
-    asker = Asker()
-    asker.shared.on_stored = asker.taken.append
-    asker.tell('one', ConfigurationText(LARGE.text))
-    assert asker.taken == [StoredConfiguration(LARGE.text, 0)]
+def test_entry_of_the_previous_release_may_send_the_whole_text():
+    requester = Requester()
+    requester.shared.on_stored = requester.received.append
+    requester.deliver('one', ConfigurationText(LARGE.text))
+    assert requester.received == [StoredConfiguration(LARGE.text, 0)]
