--- a/tests/border_support.py
+++ b/tests/border_support.py
@@ -1,14 +1,15 @@
-"""What another writer might leave: odd values, and a store that has them."""
+"""Malformed values of other writers, and a store that returns them."""
 
-# Strings that a JSON reader takes for numbers, and values at types' ends.
-ODD_VALUES = (
+# Strings that a lax JSON reader takes for numbers, and values at the limits
+# of their types.
+UNEXPECTED_VALUES = (
     None, '', 'x', '1', -1, 0, 10**30, 1.5, 1e308, float('nan'),
     float('inf'), True, [], {}, [[]], '\x00',
 )  # fmt: skip
 
 
 def mutated(rng, value):
-    """Change one place of a JSON value."""
+    """Return a JSON value with one random change."""
     if isinstance(value, dict) and value and rng.random() < 0.8:
         key = rng.choice(sorted(value))
         changed = dict(value)
@@ -18,19 +19,19 @@
             changed[key] = mutated(rng, value[key])
         return changed
     if isinstance(value, list) and value and rng.random() < 0.8:
-        place = rng.randrange(len(value))
-        changed = mutated(rng, value[place])
-        return [*value[:place], changed, *value[place + 1 :]]
-    return rng.choice(ODD_VALUES)
+        index = rng.randrange(len(value))
+        changed = mutated(rng, value[index])
+        return [*value[:index], changed, *value[index + 1 :]]
+    return rng.choice(UNEXPECTED_VALUES)
 
 
-class Rows:
-    """A store whose next answers are given."""
+class PreparedStore:
+    """A store that returns the given responses, in order."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
 
     def read(self, *_asked):
-        return self.answers.pop(0)
+        return self.responses.pop(0)
 
     changes = read
--- a/tests/test_border_incarnations.py
+++ b/tests/test_border_incarnations.py
@@ -1,4 +1,4 @@
-"""Incarnations of a runner, as the border tells them apart."""
+"""Incarnations of a worker process, told apart by their start time."""
 
 import pytest
 from test_border_runner import GOOD
@@ -16,16 +16,16 @@
 
 @pytest.fixture
 def restarts():
-    """Every restart of a worker that was logged."""
+    """The logged restarts of workers."""
     logged = []
 
-    def hear(event, fields):
+    def on_event(event, fields):
         if event is Event.WORKER_RESTARTED:
             logged.append(fields)
 
-    listen_to_events(hear)
+    listen_to_events(on_event)
     yield logged
-    _emit._listeners.remove(hear)
+    _emit._listeners.remove(on_event)
 
 
 def look(worker, **fields):
@@ -33,7 +33,7 @@
     return result_of(worker.poll(type('PollRequest', (), LOOK)))
 
 
-def test_a_restart_under_the_same_id_is_logged_once(restarts):
+def test_restart_under_the_same_id_is_logged_once(restarts):
     worker = worker_with(None)
     for born in (BORN, BORN, BORN + 5000, BORN + 5000):
         look(worker, born=born, running=[], finished=[[1]])
@@ -43,30 +43,30 @@
     assert restarts[0]['finished'] == 1
 
 
-def test_a_runner_that_tells_no_start_has_no_restart(restarts):
+def test_worker_that_reports_no_start_time_has_no_restart(restarts):
     worker = worker_with(None)
-    for _each in range(2):
+    for _poll in range(2):
         look(worker)
     assert not restarts
 
 
-ODD_STARTS = ['x', -1, 1.5, 10**30, True, [1], {'a': 1}, float('nan')]
+MALFORMED_STARTS = ['x', -1, 1.5, 10**30, True, [1], {'a': 1}, float('nan')]
 
 
-@pytest.mark.parametrize('odd', ODD_STARTS)
-def test_an_odd_start_names_an_incarnation_all_the_same(odd):
-    words = {boot_name('i-1', other) for other in (*ODD_STARTS, BORN)}
-    assert len(words) == len(ODD_STARTS) + 1
-    assert boot_name('i-1', odd) == boot_name('i-1', odd)
+@pytest.mark.parametrize('malformed', MALFORMED_STARTS)
+def test_malformed_start_still_identifies_an_incarnation(malformed):
+    names = {boot_name('i-1', other) for other in (*MALFORMED_STARTS, BORN)}
+    assert len(names) == len(MALFORMED_STARTS) + 1
+    assert boot_name('i-1', malformed) == boot_name('i-1', malformed)
 
 
-def test_a_whole_number_names_the_same_start_in_either_form():
+def test_integer_and_float_start_name_the_same_incarnation():
     whole = boot_name('i-1', BORN)
     assert whole == boot_name('i-1', float(BORN)) == f'i-1#{BORN}'
 
 
 class Reports:
-    """An agent's resource for reports, and what it has passed on."""
+    """An agent's resource for reports; records what it has passed on."""
 
     def __init__(self):
         self.boots, self.left = [], []
@@ -76,42 +76,42 @@
             (OWN_HOST,),
         )
 
-    def beat(self, **changes):
+    def send_heartbeat(self, **changes):
         post_report(self._resource, 'i-1', {**GOOD, **changes})
 
-    def leave(self, fields):
+    def deregister(self, fields):
         post_report(self._resource, 'i-1', fields, 'deregister')
 
 
-def test_each_incarnation_reports_under_a_boot_of_its_own():
+def test_each_incarnation_reports_with_its_own_boot_name():
     reports = Reports()
     for born in (BORN, BORN + 1, None):
-        reports.beat(born=born)
+        reports.send_heartbeat(born=born)
     assert reports.boots == [f'i-1#{BORN}', f'i-1#{BORN + 1}', 'i-1']
 
 
-@pytest.mark.parametrize('odd', ODD_STARTS)
-def test_a_report_with_an_odd_start_is_taken(odd):
+@pytest.mark.parametrize('malformed', MALFORMED_STARTS)
+def test_report_with_a_malformed_start_is_accepted(malformed):
     reports = Reports()
-    reports.beat(born=odd)
+    reports.send_heartbeat(born=malformed)
     assert len(reports.boots) == 1
 
 
-def test_a_farewell_counts_for_the_incarnation_that_it_names():
+def test_deregistration_applies_to_the_incarnation_that_it_names():
     reports = Reports()
-    reports.beat(born=BORN + 1)
-    reports.leave({'born': BORN})
+    reports.send_heartbeat(born=BORN + 1)
+    reports.deregister({'born': BORN})
     assert reports.left == [f'i-1#{BORN}']
 
 
 @pytest.mark.parametrize(
     ('state', 'boot'), [('ready', 'i-1'), ('draining', f'i-1#{BORN}')]
 )
-def test_a_farewell_without_a_start_needs_a_worker_that_leaves(state, boot):
-    """Guards against a late farewell that ends the next incarnation."""
+def test_deregistration_without_a_start_needs_a_draining_worker(state, boot):
+    """Guards against a late deregistration that ends the next incarnation."""
     reports = Reports()
-    reports.beat(born=BORN, state=state)
-    reports.leave({})
+    reports.send_heartbeat(born=BORN, state=state)
+    reports.deregister({})
     assert reports.left == [boot]
 
 
@@ -124,7 +124,7 @@
         ('i-1', BORN, 'i-1'),
     ],
 )
-def test_a_list_names_the_incarnation_that_answered(asked, born, boot):
+def test_listing_names_the_incarnation_that_responded(asked, born, boot):
     worker = worker_with(Answers(200, {'clockMs': 1, 'born': born}))
     listing = result_of(
         worker.poll(type('PollRequest', (), {**LOOK, 'boot': asked}))
@@ -132,13 +132,13 @@
     assert listing.boot == boot
 
 
-def test_calls_carry_the_id_alone():
+def test_calls_to_a_worker_carry_only_its_id():
     answers = Answers(200, {'clockMs': 1})
     worker_with(answers).stop(f'i-1#{BORN}', 1, 'a', 1)
     assert answers.calls[0][-1] == (('Expected-Instance', 'i-1'),)
 
 
-def test_advice_is_asked_by_id_and_counts_for_the_incarnation():
+def test_advice_is_requested_by_id_and_applies_to_the_incarnation():
     boots = (f'i-1#{BORN}', 'i-2')
     answers = Answers(200, {'approved': [['i-1', 't'], ['i-2', 'u']]})
     advice = PlatformAdvice(None, '127.0.0.1:1')
@@ -148,8 +148,8 @@
     assert advised.ticket_by_boot == {boots[0]: 't', 'i-2': 'u'}
 
 
-def test_a_new_incarnation_is_met_on_a_new_connection():
-    """Guards against connections to the former one that are silent for good."""
+def test_new_incarnation_is_called_on_a_new_connection():
+    """Guards against connections to the former one that never respond."""
     answers = Answers(200, {'clockMs': 1})
     worker = worker_with(answers)
     for boot in (f'i-1#{BORN}', f'i-1#{BORN}', f'i-1#{BORN + 1}'):
@@ -158,8 +158,8 @@
 
 
 @pytest.mark.parametrize('verb', ['heartbeat', 'deregister'])
-def test_another_machine_can_report_no_incarnation(verb):
-    """Guards against running tasks that a foreign report makes given up."""
+def test_reports_from_another_machine_are_rejected(verb):
+    """Guards against a foreign report that makes running tasks count as lost."""
     reports = Reports()
     status = post_report(
         reports._resource, 'i-1', {**GOOD, 'born': BORN}, verb, '10.1.0.9'
--- a/tests/test_border_rows.py
+++ b/tests/test_border_rows.py
@@ -1,10 +1,10 @@
-"""Rows that another writer left: an odd one hides none of the others."""
+"""Malformed rows of other writers do not affect the valid ones."""
 
 import json
 import random
 
 import pytest
-from border_support import Rows, mutated
+from border_support import PreparedStore, mutated
 from twisted.internet.defer import succeed
 from twisted.internet.task import Clock as Reactor
 
@@ -13,9 +13,9 @@
 from hyssopring.jobs.documents import (
     EntryRow,
     JobRow,
+    MalformedRowError,
     OwnerRow,
     ProgressRow,
-    MalformedRowError,
 )
 from hyssopring.jobs.links import LinkDialler
 from hyssopring.jobs.model import JobState
@@ -29,7 +29,7 @@
 from hyssopring.jobs.rows import Page, Row, RowKey
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
-ODD_ENTRIES = (
+MALFORMED_ENTRIES = (
     '',
     'no json',
     '[]',
@@ -44,45 +44,45 @@
 )
 
 
-def entry(key, text, version=1):
+def entry_row(key, text, version=1):
     return Row(RowKey(ENTRIES_TABLE, '', key), text, version)
 
 
-def put(deployment, place, text):
-    """Another writer changes a row."""
+def put(deployment, row_key, text):
+    """Write a row as another writer."""
     rows = deployment.rows
     rows.version += 1
-    row = Row(place, text, rows.version)
-    rows.rows[place] = row
+    row = Row(row_key, text, rows.version)
+    rows.rows[row_key] = row
     rows.changes.append(row)
 
 
-@pytest.mark.parametrize('text', ODD_ENTRIES)
-def test_an_odd_entry_row_names_no_entry_and_the_others_hold(text, errors):
+@pytest.mark.parametrize('text', MALFORMED_ENTRIES)
+def test_malformed_entry_row_is_skipped_and_logged_once(text, errors):
     peers = PeerEntries(ManualClock(), 'me')
     good = EntryRow('b:1', '1', (0,), 2).to_text()
     for _reading in range(3):
-        peers.read([entry('a', text), entry('b', good)])
+        peers.read([entry_row('a', text), entry_row('b', good)])
     assert peers.addresses == {'b': 'b:1'} and peers.owner_of(0) == 'b'
     assert len(errors) == 1 and 'a' in errors[0]['peer']
 
 
-def test_an_entry_whose_row_turns_odd_is_silent_and_then_dead():
+def test_entry_whose_row_becomes_malformed_is_taken_for_silent():
     clock = ManualClock()
     peers = PeerEntries(clock, 'me')
     good = EntryRow('b:1', '1', (0,), 2).to_text()
-    peers.read([entry('b', good)])
-    peers.read([entry('b', 'odd', 2)])
+    peers.read([entry_row('b', good)])
+    peers.read([entry_row('b', 'odd', 2)])
     assert peers.addresses and peers.is_owner_live(OwnerRow('b', '1', 1), 1)
     clock.advance(10_000)
-    peers.read([entry('b', 'odd', 3)])
+    peers.read([entry_row('b', 'odd', 3)])
     assert not peers.addresses
-    peers.read([entry('b', good, 4)])
+    peers.read([entry_row('b', good, 4)])
     assert peers.addresses
 
 
-@pytest.mark.parametrize('text', ODD_ENTRIES)
-def test_an_odd_entry_row_keeps_no_entry_from_a_takeover(text):
+@pytest.mark.parametrize('text', MALFORMED_ENTRIES)
+def test_malformed_entry_row_does_not_prevent_a_takeover(text):
     deployment = settled(work_ms=lambda task: 3000)
     job = a_job(steps=((6, ()), (2, (0,))))
     deployment.submit(job)
@@ -99,27 +99,30 @@
     connected = ()
 
     def __init__(self):
-        self.learnt = []
+        self.addresses = []
 
     def add_addresses(self, addresses):
-        self.learnt.extend(addresses)
+        self.addresses.extend(addresses)
 
 
-def test_an_agent_finds_the_readable_entries():
-    rows = [entry(str(nth), text) for nth, text in enumerate(ODD_ENTRIES)]
-    rows.append(entry('z', EntryRow('z:1', '1').to_text()))
+def test_agent_finds_the_entries_with_valid_rows():
+    rows = [
+        entry_row(str(number), text)
+        for number, text in enumerate(MALFORMED_ENTRIES)
+    ]
+    rows.append(entry_row('z', EntryRow('z:1', '1').to_text()))
     dialler, clock = Dialler(), ManualClock()
-    store = Rows(succeed(Page(tuple(rows), False, 9)))
+    store = PreparedStore(succeed(Page(tuple(rows), False, 9)))
     discovery = EntryDiscovery(clock, store, dialler, random.Random(1))
     clock.advance(2000)
     discovery.tick()
-    assert dialler.learnt == ['z:1']
+    assert dialler.addresses == ['z:1']
 
 
 @pytest.mark.parametrize('address', ['', 'a', 'a:', 'a:b', ':1', 'a:70000'])
-def test_an_address_that_names_no_port_is_not_dialled(address, errors):
+def test_invalid_address_is_not_dialled(address, errors):
     dialler = LinkDialler(Reactor(), ManualClock(), None, None, None, None)
-    for _time in range(3):
+    for _repetition in range(3):
         dialler.add_addresses([address, 'b:1'])
     assert list(dialler._by_address) == ['b:1']
     assert len(errors) == 1
@@ -130,34 +133,34 @@
 STEP = GOOD_JOB['job']['steps'][0]
 
 
-def changed_job(**changes):
+def job_text(**changes):
     return json.dumps({**GOOD_JOB, 'job': {**GOOD_JOB['job'], **changes}})
 
 
-ODD_JOBS = (
+MALFORMED_JOBS = (
     '',
     'no json',
     '[]',
     '{}',
     '{"job": 7}',
-    changed_job(steps=7),
-    changed_job(job_id='5'),
-    changed_job(job_id='no number'),
-    changed_job(job_id=f'{8:016x}'),
-    changed_job(steps=[{**STEP, 'after': [0]}]),
-    changed_job(steps=[{**STEP, 'after': [-1]}]),
-    changed_job(steps=[{**STEP, 'count': -1}]),
-    changed_job(steps=[{**STEP, 'count': 10**12}]),
-    changed_job(steps=[{**STEP, 'estimate_ms': 10**400}]),
-    changed_job(steps=[]),
+    job_text(steps=7),
+    job_text(job_id='5'),
+    job_text(job_id='no number'),
+    job_text(job_id=f'{8:016x}'),
+    job_text(steps=[{**STEP, 'after': [0]}]),
+    job_text(steps=[{**STEP, 'after': [-1]}]),
+    job_text(steps=[{**STEP, 'count': -1}]),
+    job_text(steps=[{**STEP, 'count': 10**12}]),
+    job_text(steps=[{**STEP, 'estimate_ms': 10**400}]),
+    job_text(steps=[]),
     json.dumps({**GOOD_JOB, 'accepted_ms': float('nan')}),
 )
 
 
-@pytest.mark.parametrize('text', ODD_JOBS)
+@pytest.mark.parametrize('text', MALFORMED_JOBS)
 @pytest.mark.parametrize('is_history_lost', [False, True])
-def test_an_odd_job_row_hides_no_other_job(text, is_history_lost, errors):
-    """Neither from a poll nor from the next owner."""
+def test_malformed_job_row_affects_no_other_job(text, is_history_lost, errors):
+    """Other jobs are found both by a poll and by the next owner."""
     deployment = settled()
     job = a_job(9, steps=((2, ()),))
     deployment.book.sizes[job.job_id] = job.steps[0].reserved_size
@@ -179,7 +182,7 @@
     assert 1 <= len(errors) <= 6
 
 
-def test_a_job_whose_row_is_mended_runs():
+def test_job_whose_row_is_repaired_runs():
     deployment = settled()
     deployment.book.sizes[JOB.job_id] = JOB.steps[0].reserved_size
     put(deployment, job_key(JOB.job_id), 'odd')
@@ -189,7 +192,7 @@
     assert deployment.state(JOB.job_id, deployment.owner) is JobState.COMPLETED
 
 
-ODD_PROGRESS = (
+MALFORMED_PROGRESS = (
     '',
     'no json',
     '[]',
@@ -202,9 +205,12 @@
 )
 
 
-@pytest.mark.parametrize('text', ODD_PROGRESS)
-def test_a_job_of_unknown_progress_waits_and_the_others_go_on(text, errors):
-    """Begun anew its tasks that are done would run a second time."""
+@pytest.mark.parametrize('text', MALFORMED_PROGRESS)
+def test_job_with_malformed_progress_waits(text, errors):
+    """If it started again, its done tasks would run a second time.
+
+    Other jobs continue.
+    """
     deployment = settled()
     done = a_job(3, steps=((2, ()),))
     deployment.submit(done)
@@ -224,7 +230,7 @@
     assert 1 <= len(errors) <= 4
 
 
-def test_the_state_of_a_job_with_an_odd_row_is_not_known():
+def test_state_of_a_job_with_malformed_progress_is_unknown():
     deployment = settled()
     put(deployment, job_key(JOB.job_id), JobRow(JOB, 0).to_text())
     put(deployment, progress_key(JOB.job_id), 'odd')
@@ -236,7 +242,7 @@
     assert states[0].is_err()
 
 
-ODD_OWNERS = (
+MALFORMED_OWNERS = (
     '',
     'no json',
     '[]',
@@ -247,27 +253,29 @@
 )
 
 
-@pytest.mark.parametrize('text', ODD_OWNERS)
-def test_a_shard_with_an_odd_owner_row_is_taken_under_a_higher_reign(text):
-    """Never taken its jobs would stand still; under a lower reign agents
-    would refuse all orders."""
+@pytest.mark.parametrize('text', MALFORMED_OWNERS)
+def test_shard_with_a_malformed_owner_row_is_taken_with_a_higher_epoch(text):
+    """If it was never taken, its jobs would never run.
+
+    If it was taken with a lower epoch, agents would reject all commands.
+    """
     deployment = settled(work_ms=lambda task: 3000)
     job = a_job(steps=((6, ()), (2, (0,))))
     deployment.submit(job)
     deployment.run(1)
     before = deployment.entries[deployment.owner].core.owner.shards.by_shard
-    reign = before[0].epoch
+    epoch = before[0].epoch
     deployment.kill_entry(deployment.owner)
     put(deployment, owner_key(0), text)
     deployment.run(30)
     survivor = deployment.owner
     after = deployment.entries[survivor].core.owner.shards.by_shard[0]
-    assert after.epoch > reign and not after.former.is_over
+    assert after.epoch > epoch and not after.former.is_over
     assert deployment.state(job.job_id, survivor) is JobState.COMPLETED
     assert len(starts_of(deployment, job)) == 8
 
 
-READERS = (
+VALID_ROWS = (
     (EntryRow, EntryRow('a:1', '1', (0,), 2).to_text()),
     (OwnerRow, OwnerRow('a', '1', 3).to_text()),
     (JobRow, JobRow(JOB, 1).to_text()),
@@ -276,31 +284,31 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_any_row_is_read_or_refused(seed):
+def test_mutated_rows_are_parsed_or_rejected(seed):
     rng = random.Random(seed)
     for _round in range(300):
-        kind, text = rng.choice(READERS)
+        row_class, text = rng.choice(VALID_ROWS)
         changed = json.dumps(mutated(rng, json.loads(text)))
         if rng.random() < 0.2:
             changed = changed[: rng.randrange(len(changed))]
         try:
-            document = kind.from_text(changed)
+            document = row_class.from_text(changed)
         except MalformedRowError:
             continue
-        assert kind.from_text(document.to_text()) == document
+        assert row_class.from_text(document.to_text()) == document
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_a_deployment_works_on_among_odd_rows(seed):
-    """Any row may turn odd at any time, but for those of the job in hand."""
+def test_jobs_complete_while_rows_become_malformed(seed):
+    """Rows are overwritten at random, except those of the current job."""
     rng = random.Random(seed)
     deployment = settled(Deployment(work_ms=lambda task: 1000))
     for number in range(20, 26):
-        places = sorted(
+        row_keys = sorted(
             (row.row_key for row in deployment.rows.rows.values()), key=str
         )
-        place = rng.choice(places)
-        put(deployment, place, rng.choice(ODD_ENTRIES))
+        row_key = rng.choice(row_keys)
+        put(deployment, row_key, rng.choice(MALFORMED_ENTRIES))
         put(deployment, RowKey(ENTRIES_TABLE, '', f'x{number}'), 'odd')
         deployment.run(20)
         job = a_job(number, steps=((2, ()),))
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -1,4 +1,4 @@
-"""What a runner says of itself, whole or broken: the others hold."""
+"""Malformed heartbeats and task lists of a worker."""
 
 import io
 import json
@@ -26,15 +26,15 @@
     'freeCapacity': {'cpu': 4000, 'memMb': 8000, 'gpu': 0},
     'labels': ['a'],
     'remainingMs': 0,
-    'more': 'is left unread',
+    'more': 'an unknown field',
 }
 
 
 class Reports:
     def __init__(self):
-        self.told, self.left = [], []
+        self.heartbeats, self.left = [], []
         self.resource = ReportsResource(
-            self.told.append, self.left.append, (OWN_HOST,)
+            self.heartbeats.append, self.left.append, (OWN_HOST,)
         )
 
     def post(self, body, boot='i-1', verb='heartbeat'):
@@ -46,44 +46,58 @@
         self.resource.render_POST(request)
         return request.responseCode
 
-    def beat(self, **changes):
+    def send_heartbeat(self, **changes):
         return self.post(json.dumps({**GOOD, **changes}).encode())
 
 
-ODD_FIELDS = [
-    *({'sequence': odd} for odd in ('5', None, -1, 1.5, 10**30, True, [])),
-    *({'sequence': odd} for odd in (float('nan'), float('inf'))),
-    *({'clockMs': odd} for odd in ('5', None, -1, 10**30)),
-    *({'remainingMs': odd} for odd in ('5', None, -1, 10**30)),
-    *({'state': odd} for odd in ('odd', '', None, 7, [])),
-    *({'service': odd} for odd in ('', None, 7, [], 'x' * 10_000)),
-    *({'labels': odd} for odd in ('a', None, 7, [7], {'a': 1}, ['a'] * 9999)),
-    *({'freeCapacity': odd} for odd in (None, 7, [], 'all')),
-    *({'freeCapacity': {'cpu': odd}} for odd in (-1, '4', None, 10**30, 0.5)),
-    *({'freeCapacity': {'memMb': odd}} for odd in (-1, float('nan'))),
+MALFORMED_FIELDS = [
+    *(
+        {'sequence': malformed}
+        for malformed in ('5', None, -1, 1.5, 10**30, True, [])
+    ),
+    *({'sequence': malformed} for malformed in (float('nan'), float('inf'))),
+    *({'clockMs': malformed} for malformed in ('5', None, -1, 10**30)),
+    *({'remainingMs': malformed} for malformed in ('5', None, -1, 10**30)),
+    *({'state': malformed} for malformed in ('odd', '', None, 7, [])),
+    *({'service': malformed} for malformed in ('', None, 7, [], 'x' * 10_000)),
+    *(
+        {'labels': malformed}
+        for malformed in ('a', None, 7, [7], {'a': 1}, ['a'] * 9999)
+    ),
+    *({'freeCapacity': malformed} for malformed in (None, 7, [], 'all')),
+    *(
+        {'freeCapacity': {'cpu': malformed}}
+        for malformed in (-1, '4', None, 10**30, 0.5)
+    ),
+    *(
+        {'freeCapacity': {'memMb': malformed}}
+        for malformed in (-1, float('nan'))
+    ),
 ]
 
 
-@pytest.mark.parametrize('changes', ODD_FIELDS)
-def test_an_odd_heartbeat_is_refused_and_the_next_one_counts(changes, errors):  # noqa: F811
+@pytest.mark.parametrize('changes', MALFORMED_FIELDS)
+def test_malformed_heartbeat_is_rejected_and_the_next_one_accepted(
+    changes, errors
+):  # noqa: F811
     reports = Reports()
-    assert reports.beat(**changes) == 400
-    assert not reports.told and len(errors) == 1
-    assert reports.beat() == 200
-    assert reports.told[0].room.cpu_millis == 4000
+    assert reports.send_heartbeat(**changes) == 400
+    assert not reports.heartbeats and len(errors) == 1
+    assert reports.send_heartbeat() == 200
+    assert reports.heartbeats[0].room.cpu_millis == 4000
 
 
 @pytest.mark.parametrize(
     'body', [b'', b'\xff\xfe', b'{', b'[]', b'7', b'{}', b'[' * 100_000]
 )
-def test_bytes_that_are_no_heartbeat_are_refused(body, errors):  # noqa: F811
+def test_undecodable_heartbeat_is_rejected(body, errors):  # noqa: F811
     reports = Reports()
     assert reports.post(body) == 400
-    assert not reports.told and len(errors) == 1
+    assert not reports.heartbeats and len(errors) == 1
 
 
 @pytest.mark.parametrize('field', ['service', 'state', 'sequence'])
-def test_a_heartbeat_without_a_field_is_refused(field):
+def test_heartbeat_without_a_required_field_is_rejected(field):
     reports = Reports()
     fields = {name: GOOD[name] for name in GOOD if name != field}
     assert reports.post(json.dumps(fields).encode()) == 400
@@ -91,13 +105,13 @@
 
 @pytest.mark.parametrize('verb', ['heartbeat', 'deregister'])
 @pytest.mark.parametrize('boot', ['', '\xff', 'a b', '%0d%0a', 'x' * 500])
-def test_an_odd_name_of_a_boot_is_refused(boot, verb, errors):  # noqa: F811
+def test_malformed_boot_name_is_rejected(boot, verb, errors):  # noqa: F811
     reports = Reports()
     assert reports.post(json.dumps(GOOD).encode(), boot, verb) == 400
-    assert not reports.told and not reports.left and len(errors) == 1
+    assert not reports.heartbeats and not reports.left and len(errors) == 1
 
 
-def test_any_heartbeat_is_taken_or_refused():
+def test_mutated_heartbeats_are_accepted_or_rejected():
     rng = random.Random(1)
     for _round in range(500):
         body = json.dumps(mutated(rng, GOOD)).encode()
@@ -106,8 +120,8 @@
 
 
 TASK = '5c0e7a21d94b36f8.0.1.17'
-RUNS = [TASK, 2, 'c', 41, 1000]
-ENDED = [58, '5c0e7a21d94b36f8.0.1.9', 1, 'done', '']
+RUNNING_ROW = [TASK, 2, 'c', 41, 1000]
+FINISHED_ROW = [58, '5c0e7a21d94b36f8.0.1.9', 1, 'done', '']
 
 
 def look(worker, **fields):
@@ -116,11 +130,11 @@
 
 
 @pytest.mark.parametrize('how', ['odd', '', None, 7, [], {}])
-def test_an_unknown_way_of_ending_is_an_end_that_is_not_done(how, errors):  # noqa: F811
+def test_unknown_end_is_read_as_stopped(how, errors):  # noqa: F811
     worker = worker_with(None)
-    odd = [57, TASK, 2, how, 'c']
-    for _look in range(3):
-        listing = look(worker, finished=[odd, ENDED])
+    malformed = [57, TASK, 2, how, 'c']
+    for _repetition in range(3):
+        listing = look(worker, finished=[malformed, FINISHED_ROW])
     assert [end.how for end in listing.ends] == [
         AttemptEnd.STOPPED,
         AttemptEnd.DONE,
@@ -129,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    'odd',
+    'malformed',
     [
         [59, 'no task', 1, 'done', ''],
         [59, None, 1, 'done', ''],
@@ -138,10 +152,10 @@
         [59, '5c0e7a21d94b36f8.0.1.x', 1, 'done', ''],
     ],
 )
-def test_an_end_that_names_no_attempt_is_forgotten_in_the_end(odd, errors):  # noqa: F811
+def test_end_without_a_valid_attempt_is_acknowledged(malformed, errors):  # noqa: F811
     worker, ends = worker_with(None), EndTable()
-    for _look in range(3):
-        listing = look(worker, finished=[ENDED, odd])
+    for _repetition in range(3):
+        listing = look(worker, finished=[FINISHED_ROW, malformed])
     assert [end.number for end in listing.ends] == [58]
     ends.add(listing.ends[0])
     ends.skip(listing.last_unidentified_end)
@@ -151,11 +165,15 @@
     assert len(errors) == 1
 
 
-@pytest.mark.parametrize('odd', [None, 7, 'x', {}, [], ['x', 1, '', 0, 0]])
-def test_an_odd_row_of_what_runs_hides_no_other(odd, errors):  # noqa: F811
+@pytest.mark.parametrize(
+    'malformed', [None, 7, 'x', {}, [], ['x', 1, '', 0, 0]]
+)
+def test_malformed_row_of_a_running_task_hides_no_other(malformed, errors):  # noqa: F811
     worker = worker_with(None)
-    for _look in range(3):
-        listing = look(worker, running=[odd, RUNS], finished=[ENDED])
+    for _repetition in range(3):
+        listing = look(
+            worker, running=[malformed, RUNNING_ROW], finished=[FINISHED_ROW]
+        )
     assert [row.task for row in listing.rows] == [TASK]
     assert len(listing.ends) == 1
     assert not listing.is_complete and len(errors) == 1
@@ -164,25 +182,25 @@
 @pytest.mark.parametrize(
     'row', [[TASK], [TASK, 'x', 7, None, []], [TASK, -1, '', 10**30, '']]
 )
-def test_a_task_of_an_odd_row_is_known_to_run(row):
+def test_task_of_a_malformed_row_counts_as_running(row):
     listing = look(worker_with(None), running=[row])
     assert listing.is_complete and listing.rows[0].task == TASK
     table = AttemptTable()
     assert table.listed(listing.rows[0], 0).number == 0
 
 
-def test_a_listing_without_its_clock_is_no_listing(errors):  # noqa: F811
+def test_listing_with_a_malformed_field_fails(errors):  # noqa: F811
     worker = worker_with(None)
-    for _look in range(3):
+    for _repetition in range(3):
         assert look(worker, clockMs='x').check(WorkerUnreachable)
         assert look(worker, finished=7).check(WorkerUnreachable)
     assert len(errors) == 1
 
 
-def test_any_listing_is_read_or_refused():
+def test_mutated_listings_are_read_or_rejected():
     rng = random.Random(2)
     worker = worker_with(None)
-    good = {'clockMs': 4, 'running': [RUNS], 'finished': [ENDED]}
+    good = {'clockMs': 4, 'running': [RUNNING_ROW], 'finished': [FINISHED_ROW]}
     for _round in range(500):
         fields = mutated(rng, good)
         if not isinstance(fields, dict):
@@ -192,20 +210,20 @@
         assert isinstance(listing, Listing) or listing.check(WorkerUnreachable)
 
 
-def test_an_attempt_whose_row_cannot_be_read_does_not_start_again():
-    """The worker lists a row that names nothing in place of the task's."""
+def test_attempt_with_a_malformed_row_is_not_started_again():
+    """The worker lists a row without a task name in place of the task's."""
     deployment = settled(work_ms=lambda task: 6000)
     for worker in deployment.workers:
-        worker._look = blind(worker, worker._look)
+        worker._look = hide_rows(worker, worker._look)
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
     deployment.run(5)
     assert len(starts_of(deployment, job)) == 4
 
 
-def blind(worker, look_as_before):
-    def look_blindly(asked):
-        listing = look_as_before(asked)
+def hide_rows(worker, original_look):
+    def look(asked):
+        listing = original_look(asked)
         return Listing(listing.clock_ms, (), listing.ends, not listing.rows)
 
-    return look_blindly
+    return look
--- a/tests/test_border_store.py
+++ b/tests/test_border_store.py
@@ -1,10 +1,10 @@
-"""Answers of the store, and its configuration, that another writer made odd."""
+"""Malformed responses of the store, and malformed configurations."""
 
 import base64
 import random
 
 import pytest
-from border_support import Rows, mutated
+from border_support import PreparedStore, mutated
 from test_platform import Answers, result_of, store_with
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock as Reactor
@@ -22,7 +22,7 @@
 from hyssopring.platform.configuration import ConfigurationFollower
 
 
-def stored(key='k', **changes):
+def wire_row(key='k', **changes):
     text = base64.b64encode(b'text').decode()
     return {
         'table': 't',
@@ -35,37 +35,40 @@
 
 
 @pytest.mark.parametrize('value', ['%%', '/w==', 'YQ', 7, [], {}, 'é', True])
-def test_a_value_that_cannot_be_read_keeps_its_row(value, errors):
-    """Who needs the key and the version alone has them, as of an agent that
-    a shard's next owner must wait for."""
-    rows = [stored('a', value=value), stored('b')]
-    answers = Answers(200, {'ver': 9, 'rows': rows})
-    page = result_of(store_with(answers).read('t', 'p'))
+def test_row_with_an_undecodable_value_keeps_key_and_version(value, errors):
+    """Some readers need the key only.
+
+    For example, a shard's next owner must wait for each agent with a row.
+    """
+    rows = [wire_row('a', value=value), wire_row('b')]
+    responses = Answers(200, {'ver': 9, 'rows': rows})
+    page = result_of(store_with(responses).read('t', 'p'))
     assert [row.row_key.key for row in page.rows] == ['a', 'b']
     assert [row.text for row in page.rows] == ['', 'text']
     assert page.rows[0].version == 4 and len(errors) == 1
 
 
 @pytest.mark.parametrize('ver', ['x', None, [], -3, 1.5, True])
-def test_a_version_that_cannot_be_read_matches_no_row(ver):
-    answers = Answers(200, {'ver': 9, 'rows': [stored('a', ver=ver)]})
-    page = result_of(store_with(answers).read('t', 'p'))
+def test_malformed_version_is_read_as_zero(ver):
+    responses = Answers(200, {'ver': 9, 'rows': [wire_row('a', ver=ver)]})
+    page = result_of(store_with(responses).read('t', 'p'))
     assert page.rows[0].version == 0
 
 
 @pytest.mark.parametrize(
-    'row', [None, 7, 'row', [], {}, {'key': 'k'}, stored(7), stored(part=[])]
+    'row',
+    [None, 7, 'row', [], {}, {'key': 'k'}, wire_row(7), wire_row(part=[])],
 )
-def test_a_row_that_lies_nowhere_hides_no_other(row, errors):
-    answers = Answers(200, {'ver': 9, 'rows': [row, stored('b')]})
-    page = result_of(store_with(answers).read('t', 'p'))
-    assert [each.row_key.key for each in page.rows] == ['b']
-    changes = result_of(store_with(answers).changes('t', 1, 0))
-    assert [each.row_key.key for each in changes.rows] == ['b']
+def test_row_without_a_valid_key_is_skipped(row, errors):
+    responses = Answers(200, {'ver': 9, 'rows': [row, wire_row('b')]})
+    page = result_of(store_with(responses).read('t', 'p'))
+    assert [row_read.row_key.key for row_read in page.rows] == ['b']
+    changes = result_of(store_with(responses).changes('t', 1, 0))
+    assert [row_read.row_key.key for row_read in changes.rows] == ['b']
     assert len(errors) == 2
 
 
-ODD_FIELDS = (
+MALFORMED_FIELDS = (
     {},
     {'ver': None},
     {'ver': 'x', 'rows': []},
@@ -76,27 +79,27 @@
 )
 
 
-@pytest.mark.parametrize('fields', ODD_FIELDS)
-def test_an_answer_without_its_fields_is_no_answer(fields):
+@pytest.mark.parametrize('fields', MALFORMED_FIELDS)
+def test_read_with_a_malformed_response_fails(fields):
     store = store_with(Answers(200, fields))
     assert result_of(store.read('t', 'p')).check(StoreRefused)
     assert result_of(store.read_one(RowKey('t', 'p', 'k'))).check(StoreRefused)
 
 
-@pytest.mark.parametrize('fields', ODD_FIELDS[:-1])
-def test_changes_without_their_fields_are_no_answer(fields):
+@pytest.mark.parametrize('fields', MALFORMED_FIELDS[:-1])
+def test_changes_with_a_malformed_response_fail(fields):
     store = store_with(Answers(200, fields))
     assert result_of(store.changes('t', 1, 0)).check(StoreRefused)
 
 
-@pytest.mark.parametrize('fields', ODD_FIELDS[:4])
-def test_a_commit_without_its_version_is_in_doubt(fields):
+@pytest.mark.parametrize('fields', MALFORMED_FIELDS[:4])
+def test_commit_without_a_version_in_the_response_is_uncertain(fields):
     store = store_with(Answers(200, fields))
     assert result_of(store.commit(Transaction())).check(StoreUncertain)
 
 
-def test_a_conflict_whose_rows_are_odd_is_a_refusal():
-    """Taken for no rows it would say that another one owns the shard."""
+def test_conflict_with_malformed_rows_is_refused():
+    """Read as an empty list, it would show that the shard has another owner."""
     checked = Transaction((RowCheck(RowKey('t', 'p', 'k'), 4),))
     store = store_with(Answers(412, {'rows': 7}))
     assert result_of(store.commit(checked)).check(StoreRefused)
@@ -120,9 +123,9 @@
         '{"version": 5, "limits": {"maxBodyBytes": -1}}',
     ],
 )
-def test_an_odd_configuration_leaves_the_former_one_in_force(text, errors):
+def test_malformed_configuration_leaves_the_former_one_in_force(text, errors):
     reactor, tables = Reactor(), []
-    store = Rows(
+    store = PreparedStore(
         succeed(Page((Row(CONFIG, TABLE % 1, 1),), False, 1)),
         succeed(Changes((Row(CONFIG, text, 2),), 2)),
         succeed(Changes((Row(CONFIG, TABLE % 6, 3),), 3)),
@@ -138,8 +141,8 @@
     assert len(errors) == 1
 
 
-def test_a_table_that_cannot_be_taken_does_not_end_the_following(errors):
-    """An error in passing one on left the process without any later one."""
+def test_error_in_a_callback_does_not_stop_the_follower(errors):
+    """After an error in the callback the process got no later version."""
     reactor, tables = Reactor(), []
 
     def take(table, _text):
@@ -147,7 +150,7 @@
         if len(tables) == 1:
             raise ValueError
 
-    store = Rows(
+    store = PreparedStore(
         succeed(Page((Row(CONFIG, TABLE % 1, 1),), False, 1)),
         succeed(Page((Row(CONFIG, TABLE % 2, 2),), False, 2)),
         fail(StoreRefused()),
@@ -159,9 +162,9 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_any_answer_of_the_store_is_read_or_refused(seed):
+def test_mutated_responses_are_read_or_refused(seed):
     rng = random.Random(seed)
-    good = {'ver': 9, 'rows': [stored('a'), stored('b')], 'hasMore': False}
+    good = {'ver': 9, 'rows': [wire_row('a'), wire_row('b')], 'hasMore': False}
     for _round in range(200):
         fields = mutated(rng, good)
         if not isinstance(fields, dict):
