--- a/hyssopring/leases/__init__.py
+++ b/hyssopring/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases: of shards by entries, and of running tasks by agents."""
+"""Leases of entries on shards and of agents on running tasks."""
 
 from hyssopring.leases.held import ShardLeases
 from hyssopring.leases.shards import HeldShard, ShardHolder, ShardSettings
--- a/hyssopring/leases/registry.py
+++ b/hyssopring/leases/registry.py
@@ -1,9 +1,9 @@
-"""The entries that the table lists, and this entry's own row among them.
+"""Registration of this entry in the table, and the other entries listed there.
 
-An entry renews ``entries/<id>``; its lease counts from before the renewal was
-sent. The row is never deleted while it matters: a planned stop or a takeover
-empties its incarnation instead, so that versions only grow and a commit that
-was delayed on its way can never match a version that came round again.
+An entry renews the row ``entries/<id>``; its lease counts from before the
+renewal was sent. A row in use is never deleted: a planned stop or a takeover
+clears its incarnation instead. Versions therefore only grow, and a delayed
+commit can never match a version that was used again.
 """
 
 import uuid
@@ -35,10 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardSettings:
-    """Sizes and times of shard leases, in milliseconds.
-
-    ``takeover_ms`` exceeds ``lease_ms`` by more than clocks of different
-    rates can differ in that time (here by a third).
+    """Number of shards, and times of their leases in ms.
+
+    Attributes:
+        shards: Number of shards.
+        lease_ms: Validity of a lease after a renewal was sent.
+        takeover_ms: Time without a renewal after which another entry may take
+            the shards. Longer than ``lease_ms`` by more than clocks can
+            drift in that time (here by a third).
+        renew_ms: Interval between renewals.
+        forget_ms: Age at which the row of an ended entry is deleted.
     """
 
     shards: int = 8
@@ -50,6 +56,8 @@
 
 @dataclass(slots=True)
 class _Sighting:
+    """When a row was first read at its current version."""
+
     version: int
     seen_at: float
 
@@ -60,7 +68,7 @@
 
 
 def ended_entry() -> Document:
-    """Return the document of an entry that has stopped or was deposed."""
+    """Return the document of an entry that has stopped or lost its lease."""
     return {'incarnation': '', 'address': '', 'configuration': 0}
 
 
@@ -69,7 +77,17 @@
 
 
 class EntryRegistry:
-    """Renews this entry's row and watches those of the others."""
+    """Renews this entry's row and tracks the rows of the others.
+
+    Attributes:
+        configuration_version: Configuration version that this entry has.
+        lowest_agent_version: Lowest configuration version of its agents.
+        members: The live entries.
+        version_by_entry: Configuration version of each registered entry.
+        operators_by_entry: Operator address of each live entry.
+        agent_version_by_entry: Lowest configuration version of the agents of
+            each registered entry.
+    """
 
     def __init__(
         self,
@@ -79,7 +97,7 @@
         settings: ShardSettings,
         on_deposed: Callable[[], None],
     ) -> None:
-        """Take the ports; the lease begins with the first renewal."""
+        """Start without a lease; the first renewal starts it."""
         self._clock = clock
         self._store = store
         self._own = own
@@ -101,19 +119,23 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether this entry's lease is good at this moment."""
+        """Whether this entry's lease is valid now."""
         return self._clock.now() < self._valid_until
 
     def is_stale(self, row: Row) -> bool:
-        """Whether a row was seen unchanged for longer than its lease."""
+        """Whether a row has not changed for longer than ``takeover_ms``."""
         return self._unchanged_ms(row) > self._settings.takeover_ms
 
     def is_live(self, row: Row) -> bool:
-        """Whether an entry renews this row."""
+        """Whether the row's entry is registered and renews the row."""
         return _is_registered(row) and not self.is_stale(row)
 
-    def refresh(self, done: EntriesCallback) -> None:
-        """Renew, then read all entries; ``done`` gets None on a failure."""
+    def refresh(self, on_entries: EntriesCallback) -> None:
+        """Renew this entry's row, then read all entries.
+
+        Args:
+            on_entries: Called with the rows, or with None on a failure.
+        """
         sent_at = self._clock.now()
         document = {
             'incarnation': self.incarnation,
@@ -128,11 +150,11 @@
                 (Check(self.key, self.row_version),),
                 (Put(self.key, document),),
             ),
-            lambda answer: self._renewed(sent_at, done, answer),
+            lambda answer: self._on_renewed(sent_at, on_entries, answer),
         )
 
     def release(self) -> None:
-        """End the lease now; others need not wait for it."""
+        """End the lease now, so that others need not wait for its expiry."""
         self._is_released = True
         self._valid_until = 0
         self._store.commit(
@@ -143,34 +165,35 @@
             lambda _answer: None,
         )
 
-    def _renewed(
+    def _on_renewed(
         self,
         sent_at: float,
-        done: EntriesCallback,
+        on_entries: EntriesCallback,
         answer: Result[Committed | Conflict, Failure],
     ) -> None:
         outcome = answer.unwrap_or(None)
         if outcome is None or self._is_released:
-            done(None)
+            on_entries(None)
             return
         if isinstance(outcome, Conflict):
-            self._adopt(outcome.row(self.key))
-            done(None)
+            self._handle_conflict(outcome.row(self.key))
+            on_entries(None)
             return
         self.row_version = outcome.version_by_key[self.key]
         self._valid_until = sent_at + self._settings.lease_ms
         self._store.read(
             _ENTRIES,
-            lambda rows: self._entries_read(done, rows),
+            lambda rows: self._on_entries_read(on_entries, rows),
         )
 
-    def _adopt(self, row: Row | None) -> None:
-        """Find out why the own row is not as it was left.
+    def _handle_conflict(self, row: Row | None) -> None:
+        """Handle a renewal that conflicted with this entry's stored row.
 
-        A renewal whose answer was lost left this incarnation's own document:
-        nobody deposed us. A row of another incarnation may belong to a
-        process of the same id that still runs on a VM that was replaced but
-        not stopped; its lease has to run out before its row is written over.
+        If the row names this incarnation, the response to an earlier renewal
+        was lost and the lease is still this entry's. A row of another
+        incarnation may belong to a process of the same id that still runs on
+        a VM that was replaced but not stopped; its lease must expire before
+        its row is overwritten.
         """
         if row is None:
             return
@@ -180,21 +203,21 @@
                 return
         self._valid_until = 0
         self._on_deposed()
-        self._note(row)
+        self._record_sighting(row)
         if not _is_registered(row) or self.is_stale(row):
             self.row_version = row.version
 
-    def _entries_read(
+    def _on_entries_read(
         self,
-        done: EntriesCallback,
+        on_entries: EntriesCallback,
         answer: Result[Sequence[Row], Failure],
     ) -> None:
         if answer.is_err():
-            done(None)
+            on_entries(None)
             return
         rows = answer.unwrap()
         for row in rows:
-            self._note(row)
+            self._record_sighting(row)
         registered = [row for row in rows if _is_registered(row)]
         self.members = tuple(
             EntryMember(
@@ -218,14 +241,14 @@
             row.key.removeprefix(_ENTRIES): row.document['agents']
             for row in registered
         }
-        self._forget_ended(rows)
-        done(rows)
+        self._delete_ended_rows(rows)
+        on_entries(rows)
 
-    def _note(self, row: Row) -> None:
+    def _record_sighting(self, row: Row) -> None:
         sighting = self._sighting_by_key.get(row.key)
         if sighting is None or sighting.version != row.version:
-            seen = _Sighting(row.version, self._clock.now())
-            self._sighting_by_key[row.key] = seen
+            new_sighting = _Sighting(row.version, self._clock.now())
+            self._sighting_by_key[row.key] = new_sighting
 
     def _unchanged_ms(self, row: Row) -> float:
         sighting = self._sighting_by_key.get(row.key)
@@ -233,7 +256,7 @@
             return 0
         return self._clock.now() - sighting.seen_at
 
-    def _forget_ended(self, rows: Sequence[Row]) -> None:
+    def _delete_ended_rows(self, rows: Sequence[Row]) -> None:
         for row in rows:
             if _is_registered(row):
                 continue
--- a/hyssopring/leases/shards.py
+++ b/hyssopring/leases/shards.py
@@ -1,11 +1,11 @@
-"""Which entry plans which shard, by leases kept in the table service.
+"""Assignment of shards to entries by leases in the table service.
 
 A shard's row names its holder, the holder's incarnation and an epoch. An
-entry holds its shards for as long as its own row was renewed less than
-``lease_ms`` ago, counted from before the renewal was sent. A rival that has
-seen the holder's row unchanged for ``takeover_ms``, which is longer, ends
-that row in the same transaction that takes the shard, so the old holder's
-next renewal fails and it knows that it was deposed.
+entry holds its shards while its own row was renewed less than ``lease_ms``
+ago, counted from before the renewal was sent. Another entry that has seen the
+holder's row unchanged for the longer ``takeover_ms`` may take the shard. The
+same transaction ends the holder's row, so that the holder's next renewal
+fails and it learns that it has lost its shards.
 """
 
 from dataclasses import dataclass
@@ -36,12 +36,16 @@
 __all__ = ('HeldShard', 'ShardHolder', 'ShardSettings', 'shard_key')
 
 _SHARDS = 'shards/'
-_KEY_WIDTH = 4
+_KEY_DIGITS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class HeldShard:
-    """A shard that this entry holds, and since when."""
+    """A shard that this entry holds.
+
+    Attributes:
+        acquired_at: When it was taken, in ms of this process's clock.
+    """
 
     shard: int
     epoch: int
@@ -51,11 +55,11 @@
 
 def shard_key(shard: int) -> str:
     """Return the table key of a shard's row."""
-    return f'{_SHARDS}{shard:0{_KEY_WIDTH}}'
+    return f'{_SHARDS}{shard:0{_KEY_DIGITS}}'
 
 
 class ShardHolder:
-    """Registers this entry, and acquires and keeps its share of shards."""
+    """Registers this entry, and acquires and renews its share of shards."""
 
     def __init__(
         self,
@@ -66,7 +70,7 @@
         on_lost: Callable[[int], None],
         settings: ShardSettings = ShardSettings(),
     ) -> None:
-        """Take the ports; nothing is held until the table says so."""
+        """Start without shards; ``poll`` acquires them."""
         self._clock = clock
         self._store = store
         self._entry_id = own.entry_id
@@ -87,17 +91,17 @@
 
     @property
     def shards(self) -> int:
-        """How many shards there are in all."""
+        """Total number of shards."""
         return self._settings.shards
 
     @property
     def is_valid(self) -> bool:
-        """Whether this entry's leases are good at this moment."""
+        """Whether this entry's leases are valid now."""
         return self._registry.is_valid
 
     @property
     def registry(self) -> EntryRegistry:
-        """The entries that the table lists, and what each says of itself."""
+        """The entries listed in the table, with their published state."""
         return self._registry
 
     @property
@@ -118,40 +122,41 @@
         return self._held_by_shard.get(shard) if self.is_valid else None
 
     def poll(self) -> None:
-        """Renew, then look for shards to take; call each ``renew_ms``."""
+        """Renew, then take or hand over shards; call every ``renew_ms``."""
         if not self.is_valid and self._held_by_shard:
-            self._lose_all('lease lapsed')
+            self._lose_all('lease expired')
         if self._is_busy or self._is_released:
             return
         self._is_busy = True
-        self._registry.refresh(self._refreshed)
+        self._registry.refresh(self._on_refreshed)
 
     def drop(self, shard: int, why: str) -> None:
-        """Give up a shard whose rows changed under its planner.
+        """Give up a shard whose rows another writer has changed.
 
-        Kept, it would go on granting leases with no plan behind them. Its
-        row still names this entry, so a later poll takes it afresh.
+        Otherwise the entry would renew leases for tasks that its plan does
+        not contain. The shard's row still names this entry, so a later poll
+        takes the shard again.
         """
         if self._held_by_shard.pop(shard, None) is not None:
             log_event(Event.SHARD_LOST, shard=shard, why=why)
             self._on_lost(shard)
 
     def release(self) -> None:
-        """Give up everything at a planned stop; others need not wait."""
+        """Give up all shards at a planned stop, for immediate takeover."""
         self._is_released = True
         self._lose_all('released')
         self._registry.release()
 
-    def _refreshed(self, entries: Sequence[Row] | None) -> None:
+    def _on_refreshed(self, entries: Sequence[Row] | None) -> None:
         if entries is None or self._is_released:
             self._is_busy = False
             return
         self._store.read(
             _SHARDS,
-            lambda shards: self._shards_read(entries, shards),
+            lambda shards: self._on_shards_read(entries, shards),
         )
 
-    def _shards_read(
+    def _on_shards_read(
         self,
         entries: Sequence[Row],
         answer: Result[Sequence[Row], Failure],
@@ -164,8 +169,8 @@
             _holder_id(row_by_key.get(shard_key(shard)))
             for shard in range(self._settings.shards)
         )
-        live = sum(self._registry.is_live(row) for row in entries)
-        share = -(-self._settings.shards // max(live, 1))
+        live_count = sum(self._registry.is_live(row) for row in entries)
+        share = -(-self._settings.shards // max(live_count, 1))
         if len(self._held_by_shard) > share:
             self._give_away(max(self._held_by_shard))
             return
@@ -174,17 +179,20 @@
         for shard in range(self._settings.shards):
             row = row_by_key.get(shard_key(shard))
             holder = _holder(row, entry_by_key)
-            if self._settle(shard, row, holder, has_room):
+            if self._step(shard, row, holder, has_room):
                 return
 
-    def _settle(
+    def _step(
         self,
         shard: int,
         row: Row | None,
         holder: Row | None,
         has_room: bool,
     ) -> bool:
-        """Take or hand back one shard if that is due; one step a poll."""
+        """Take or release one shard if due; return whether it did.
+
+        Each poll does at most one step.
+        """
         if shard in self._held_by_shard:
             return False
         if has_room and self._is_free(row, holder):
@@ -196,22 +204,23 @@
         return True
 
     def _is_own(self, row: Row) -> bool:
-        """Whether a shard's row names this very process.
+        """Whether a shard's row names this process.
 
-        Without a matching held shard the answer to taking it, or to giving
-        it away, was lost; or the lease lapsed in an outage that nobody used
-        to depose us. No rival may take it while our own row is renewed, so
-        it would be planned by nobody.
+        If this process does not hold the shard, the response to taking or
+        releasing it was lost, or the lease expired in an outage and no other
+        entry took over. No other entry may take the shard while this entry's
+        row is renewed, so it would have no planner.
         """
         return bool(row.document['incarnation'] == self._registry.incarnation)
 
     def _is_free(self, row: Row | None, holder: Row | None) -> bool:
-        """Whether the lease behind a shard's row has ended for certain.
+        """Whether the lease of a shard's holder has certainly ended.
 
-        An entry's row is written over only after its lease ended, so a
-        holder of another incarnation is over. The entries were read before
-        the shards, so the holder may have registered in between; taking the
-        shard checks that the holder's row is still as it was read.
+        An entry's row is overwritten only after its lease has ended, so a
+        holder with another incarnation holds nothing. As the entries were
+        read before the shards, the holder may have registered in between;
+        the transaction that takes the shard checks that the holder's row has
+        not changed since it was read.
         """
         if row is None or holder is None or self._is_own(row):
             return True
@@ -222,7 +231,7 @@
     def _give_away(self, shard: int) -> None:
         held = self._held_by_shard.pop(shard)
         self._on_lost(shard)
-        log_event(Event.SHARD_LOST, shard=shard, why='sharing with others')
+        log_event(Event.SHARD_LOST, shard=shard, why='rebalancing')
         self._hand_back(shard, held.epoch, held.row_version)
 
     def _hand_back(self, shard: int, epoch: int, version: int) -> None:
@@ -254,10 +263,10 @@
         self._is_busy = True
         self._store.commit(
             Transaction(tuple(checks), tuple(puts)),
-            lambda answer: self._taken(shard, epoch, answer),
+            lambda answer: self._on_taken(shard, epoch, answer),
         )
 
-    def _taken(
+    def _on_taken(
         self,
         shard: int,
         epoch: int,
@@ -287,7 +296,10 @@
 
 
 def _holder(row: Row | None, entry_by_key: Mapping[str, Row]) -> Row | None:
-    """Return the row of a shard's holder; version 0 if there is none."""
+    """Return the entry row of a shard's holder, or None without a holder.
+
+    A holder whose row does not exist gets a row with version 0.
+    """
     if row is None or not row.document['holder']:
         return None
     key = entry_key(row.document['holder'])
