--- a/hyssopring/membership/dialling.py
+++ b/hyssopring/membership/dialling.py
@@ -1,4 +1,4 @@
-"""When an agent dials each entry's address, and which do not answer."""
+"""Dial schedule of an agent's entries, with backoff after failures."""
 
 import random
 from dataclasses import dataclass
@@ -10,25 +10,28 @@
 
 _REDIAL_MIN_MS: Final = 200.0
 _REDIAL_MAX_MS: Final = 3000.0
-# With many entries the agents of one that comes back are many, too.
+# In a large deployment many agents dial an entry that returns.
 _REDIAL_MAX_LARGE_MS: Final = 10_000.0
 _REFUSED_MIN_MS: Final = 15_000.0
 _REFUSED_MAX_MS: Final = 45_000.0
-# Seeds are dialled again in this time, sooner while an entry is missing.
-_SEED_MS: Final = 30_000.0
-_SEED_SOON_MS: Final = 3000.0
-# An entry that has not answered for this long is replaced in the subset.
-_DOWN_MS: Final = 5000.0
-_FORGET_MS: Final = 600_000.0
+# Seeds that led to a connected entry are dialled again after up to this time,
+# or the shorter one while an entry is missing.
+_SEED_INTERVAL_MS: Final = 30_000.0
+_SEED_INTERVAL_MISSING_MS: Final = 3000.0
+# An entry that has failed for this long is replaced in the subset.
+_DOWN_AFTER_MS: Final = 5000.0
+_FORGET_AFTER_MS: Final = 600_000.0
 
 
 @dataclass(slots=True)
 class _Address:
-    """What is known of one address.
+    """Dial state of one address.
 
     Attributes:
-        entry_id: The entry at its other end while connected.
-        failing_since: When it first failed in a row, None if it did not.
+        next_at: When to dial next.
+        entry_id: The connected entry, or empty.
+        attempts: Number of consecutive failures.
+        failing_since: Time of the first of them; None if there are none.
     """
 
     address: str
@@ -39,141 +42,151 @@
     failing_since: float | None = None
 
     def answered(self) -> None:
-        """Note that an entry was found here."""
+        """Reset the failures, as an entry has responded."""
         self.is_dialling = False
         self.attempts = 0
         self.failing_since = None
 
 
 class DialledAddresses:
-    """The addresses of one agent's entries, by when to dial them next."""
+    """The addresses of an agent's entries and when to dial each next."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
-        """Know no address; ``rng`` spreads the dialling over time."""
+        """Start without addresses; ``rng`` spreads dialling over time."""
         self._clock = clock
         self._rng = rng
-        self._address_by_text: dict[str, _Address] = {}
+        self._state_by_address: dict[str, _Address] = {}
 
     @property
     def connected(self) -> tuple[str, ...]:
         """Ids of the connected entries."""
         return tuple(
-            known.entry_id
-            for known in self._address_by_text.values()
-            if known.entry_id
+            state.entry_id
+            for state in self._state_by_address.values()
+            if state.entry_id
         )
 
     @property
     def down(self) -> frozenset[str]:
-        """Addresses that have failed for so long that others replace them."""
-        down_since = self._clock.now() - _DOWN_MS
+        """Addresses that have failed long enough to be replaced."""
+        down_since = self._clock.now() - _DOWN_AFTER_MS
         return frozenset(
-            known.address
-            for known in self._address_by_text.values()
-            if known.failing_since is not None
-            and known.failing_since < down_since
+            state.address
+            for state in self._state_by_address.values()
+            if state.failing_since is not None
+            and state.failing_since < down_since
         )
 
     def address_of(self, entry_id: str) -> str | None:
-        """Return the address that a connected entry was reached at."""
-        known = self._connected_to(entry_id)
-        return known.address if known else None
+        """Return the address of a connected entry, or None."""
+        state = self._connected_to(entry_id)
+        return state.address if state else None
 
     def dial(self, address: str) -> bool:
-        """Whether to dial now; if so, it counts as being dialled."""
-        known = self._known(address)
-        is_idle = not (known.is_dialling or known.entry_id)
-        is_due = is_idle and known.next_at <= self._clock.now()
-        known.is_dialling = known.is_dialling or is_due
+        """Return whether to dial now; if so, mark it as being dialled."""
+        state = self._state_of(address)
+        is_idle = not (state.is_dialling or state.entry_id)
+        is_due = is_idle and state.next_at <= self._clock.now()
+        state.is_dialling = state.is_dialling or is_due
         return is_due
 
     def attach(self, address: str, entry_id: str) -> None:
-        """An entry is connected at this address, and at no other."""
+        """Record that an entry is connected at this address only."""
         self.detach(entry_id)
-        known = self._known(address)
-        known.answered()
-        known.entry_id = entry_id
+        state = self._state_of(address)
+        state.answered()
+        state.entry_id = entry_id
 
     def detach(self, entry_id: str) -> str | None:
-        """An entry is not connected any more; return its address."""
-        known = self._connected_to(entry_id)
-        if known is None:
+        """Record that an entry is disconnected.
+
+        Returns:
+            Its address, or None if it was not connected.
+        """
+        state = self._connected_to(entry_id)
+        if state is None:
             return None
-        known.entry_id = ''
-        return known.address
+        state.entry_id = ''
+        return state.address
 
     def fail(self, address: str, is_refused: bool, is_large: bool) -> None:
-        """Dial again after a pause that grows with each failure in a row."""
-        now = self._clock.now()
-        known = self._known(address)
-        known.is_dialling = False
-        known.attempts += 1
-        if known.failing_since is None:
-            known.failing_since = now
-        known.next_at = now + self._pause(known, is_refused, is_large)
+        """Record a failure and schedule the next dial with backoff."""
+        now_ms = self._clock.now()
+        state = self._state_of(address)
+        state.is_dialling = False
+        state.attempts += 1
+        if state.failing_since is None:
+            state.failing_since = now_ms
+        state.next_at = now_ms + self._backoff_ms(state, is_refused, is_large)
 
     def rest(self, address: str) -> None:
-        """Dial a seed that led to a connected entry again much later."""
-        known = self._known(address)
-        known.answered()
-        pause = self._rng.uniform(_SEED_MS / 2, _SEED_MS)
-        known.next_at = self._clock.now() + pause
+        """Postpone a seed that led to an entry that is connected already."""
+        state = self._state_of(address)
+        state.answered()
+        delay_ms = self._rng.uniform(_SEED_INTERVAL_MS / 2, _SEED_INTERVAL_MS)
+        state.next_at = self._clock.now() + delay_ms
 
     def hasten(self, seeds: Iterable[str]) -> None:
-        """Dial seeds that rest soon: an entry is missing."""
-        soon = self._clock.now() + _SEED_SOON_MS
+        """Dial postponed seeds sooner, as an entry is missing."""
+        soon_ms = self._clock.now() + _SEED_INTERVAL_MISSING_MS
         for seed in seeds:
-            known = self._known(seed)
-            if known.next_at > soon and not known.attempts:
-                known.next_at = soon
+            state = self._state_of(seed)
+            if state.next_at > soon_ms and not state.attempts:
+                state.next_at = soon_ms
 
     def forget_failed(
         self,
         listed: Collection[str],
         seeds: Collection[str],
     ) -> set[str]:
-        """Drop what has failed for long and no connected entry lists.
+        """Remove unlisted addresses that have failed for ten minutes.
 
-        Seeds are never dropped.
+        Args:
+            listed: Addresses in the lists of connected entries.
+            seeds: Addresses that are never removed.
 
         Returns:
-            All that have failed for long and are not listed.
+            The unlisted addresses that have failed for ten minutes, with
+            the seeds among them.
         """
-        now = self._clock.now()
-        gone = {
-            known.address
-            for known in self._address_by_text.values()
-            if known.address not in listed
-            and known.failing_since is not None
-            and now >= known.failing_since + _FORGET_MS
+        now_ms = self._clock.now()
+        expired = {
+            state.address
+            for state in self._state_by_address.values()
+            if state.address not in listed
+            and state.failing_since is not None
+            and now_ms >= state.failing_since + _FORGET_AFTER_MS
         }
-        for address in gone.difference(seeds):
-            self._address_by_text.pop(address)
-        return gone
+        for address in expired.difference(seeds):
+            self._state_by_address.pop(address)
+        return expired
 
-    def _known(self, address: str) -> _Address:
-        if address not in self._address_by_text:
-            self._address_by_text[address] = _Address(
+    def _state_of(self, address: str) -> _Address:
+        if address not in self._state_by_address:
+            self._state_by_address[address] = _Address(
                 address,
                 self._clock.now(),
             )
-        return self._address_by_text[address]
+        return self._state_by_address[address]
 
     def _connected_to(self, entry_id: str) -> _Address | None:
-        for known in self._address_by_text.values():
-            if known.entry_id == entry_id:
-                return known
+        for state in self._state_by_address.values():
+            if state.entry_id == entry_id:
+                return state
         return None
 
-    def _pause(
+    def _backoff_ms(
         self,
-        known: _Address,
+        state: _Address,
         is_refused: bool,
         is_large: bool,
     ) -> float:
-        """Spread over time, so that agents do not return in step."""
+        """Return the delay before the next dial, in ms.
+
+        It is random, so that agents do not reconnect at the same time.
+        """
         if is_refused:
             return self._rng.uniform(_REFUSED_MIN_MS, _REFUSED_MAX_MS)
-        highest = _REDIAL_MAX_LARGE_MS if is_large else _REDIAL_MAX_MS
-        ceiling = min(_REDIAL_MIN_MS * 2**known.attempts, highest)
-        return self._rng.uniform(_REDIAL_MIN_MS, ceiling)
+        max_ms = _REDIAL_MAX_LARGE_MS if is_large else _REDIAL_MAX_MS
+        limit_ms = min(_REDIAL_MIN_MS * 2**state.attempts, max_ms)
+        return self._rng.uniform(_REDIAL_MIN_MS, limit_ms)
--- a/hyssopring/membership/directory.py
+++ b/hyssopring/membership/directory.py
@@ -1,12 +1,12 @@
-"""How an agent finds the entries, and which it keeps connections to.
-
-Seeds from the settings come first; one of them may be the platform's
-balancer, behind which each connection lands on some entry. Every connected
-entry sends its list. The lists of all connected entries are put together;
-when no entry is left, the last lists are kept, so that agents outlive the
-replacement of all entries, also while the table service is down. Fresh
-entries that could not register then are found through the seeds, and each
-agent tells its other entries of them.
+"""Discovery of entries by an agent, and the choice of connections.
+
+An agent first dials the seeds from its settings; one may be the platform's
+load balancer, which leads each connection to some entry. Every connected
+entry sends its list of entries, and the agent merges the lists. With no entry
+connected the last lists are kept, so that agents survive the replacement of
+all entries, also while the table service is down. New entries that could not
+register then are found through the seeds, and the agent reports them to its
+other entries.
 """
 
 import random
@@ -19,14 +19,14 @@
 
 __all__ = ('EntryDirectory',)
 
-_TELL_MS: Final = 10_000.0
+_REPORT_INTERVAL_MS: Final = 10_000.0
 _MAX_SUBSETS: Final = 16
 
 _Subset = tuple[EntryMember, ...]
 
 
 class EntryDirectory:
-    """The entries that one agent knows, wants and is connected to."""
+    """The entries that an agent knows, and those it should connect to."""
 
     def __init__(
         self,
@@ -36,14 +36,14 @@
         rng: random.Random,
         size: int = FULL_MESH,
     ) -> None:
-        """Know only the seeds; ``rng`` spreads the dialling over time.
+        """Start with the seeds only.
 
         Args:
             clock: The process's clock.
-            agent_id: The subset follows from it.
+            agent_id: Determines the subset of entries.
             seeds: Addresses from the settings.
-            rng: Seeded by the caller.
-            size: How many entries to connect to.
+            rng: Spreads dialling over time.
+            size: Number of entries to connect to.
         """
         self._size = size
         self._clock = clock
@@ -51,9 +51,9 @@
         self._seeds = tuple(seeds)
         self._addresses = DialledAddresses(clock, rng)
         self._members_by_source: dict[str, tuple[EntryMember, ...]] = {}
-        self._kept: tuple[EntryMember, ...] = ()
-        self._told_by_source: dict[str, set[str]] = {}
-        self._told_at: float = 0
+        self._last_members: tuple[EntryMember, ...] = ()
+        self._reported_by_source: dict[str, set[str]] = {}
+        self._reported_at: float = 0
         self._holders: tuple[str, ...] = ()
         self._pinned: frozenset[int] = frozenset()
         self._members: tuple[EntryMember, ...] | None = ()
@@ -61,14 +61,16 @@
 
     @property
     def members(self) -> tuple[EntryMember, ...]:
-        """All entries known, from the lists of those connected."""
+        """All known entries, from the lists of the connected ones."""
         if self._members is None:
             lists = list(self._members_by_source.values())
-            found = {member for each in lists for member in each} or self._kept
-            by_id = sorted(
-                found, key=lambda each: (each.entry_id, each.address)
+            merged = {
+                member for members in lists for member in members
+            } or self._last_members
+            ordered = sorted(
+                merged, key=lambda member: (member.entry_id, member.address)
             )
-            self._members = tuple(by_id)
+            self._members = tuple(ordered)
             self._subset_by_down.clear()
         return self._members
 
@@ -83,25 +85,31 @@
         members: tuple[EntryMember, ...],
         holders: tuple[str, ...],
     ) -> None:
-        """Take the list of a connected entry."""
+        """Update from the list of a connected entry.
+
+        Args:
+            source: Id of the entry.
+            members: The entries that it lists.
+            holders: Id of each shard's holder; empty if unknown.
+        """
         if source not in self.connected:
             return
         self._members_by_source[source] = members
         self._members = None
-        self._kept = self.members
-        self._free_seed(source)
+        self._last_members = self.members
+        self._release_seed(source)
         self._holders = holders or self._holders
 
     def pin(self, shards: Iterable[int]) -> None:
         """Keep a connection to the holders of these shards.
 
-        The tasks that run here live on their planners' grants; after a
-        takeover the new holder may lie outside the subset.
+        Tasks that run here need lease renewals from their planners; after a
+        takeover the new holder may be outside the subset.
         """
         self._pinned = frozenset(shards)
 
     def due(self) -> list[str]:
-        """Return the addresses to dial now, and count them as being dialled."""
+        """Return the addresses to dial now, and mark them as being dialled."""
         connected = self.connected
         wanted = [
             member.address
@@ -109,93 +117,103 @@
             if member.entry_id not in connected
         ]
         due = dict.fromkeys([*wanted, *self._due_seeds(bool(wanted))])
-        return [each for each in due if self._addresses.dial(each)]
+        return [address for address in due if self._addresses.dial(address)]
 
     def greets(self, address: str, entry_id: str) -> bool:
-        """Whether to greet the entry found at an address.
+        """Whether to greet the entry that was found at an address.
 
-        A balancer may lead to an entry that is connected already; greeting
-        it again would end the older connection and the calls on it.
+        A load balancer may lead to an entry that is connected already;
+        another greeting would end the older connection and its calls.
         """
         return entry_id not in self.connected
 
     def opened(self, address: str, entry_id: str) -> None:
-        """An entry has welcomed this agent, on the newest connection to it."""
+        """Record that an entry has welcomed this agent at an address."""
         self._addresses.attach(address, entry_id)
 
     def lost(self, entry_id: str) -> None:
-        """The newest connection to an entry has ended."""
+        """Record that the newest connection to an entry has ended."""
         address = self._addresses.detach(entry_id)
         self._members_by_source.pop(entry_id, None)
         self._members = None
-        self._told_by_source.pop(entry_id, None)
+        self._reported_by_source.pop(entry_id, None)
         if address is not None:
             self.closed(address)
 
     def closed(self, address: str, is_refused: bool = False) -> None:
-        """A connection ended before it was welcomed, or was not made."""
+        """Record that an address could not be connected or was not welcomed.
+
+        Args:
+            address: The address.
+            is_refused: The entry rejected this agent.
+        """
         is_large = len(self.members) > FULL_MESH
         self._addresses.fail(address, is_refused, is_large)
-        self._forget()
+        self._forget_failed()
 
     def skipped(self, address: str) -> None:
-        """The address led to an entry that is connected already."""
+        """Record that an address led to an entry connected already."""
         self._addresses.rest(address)
 
     def surplus(self) -> list[str]:
-        """Return connected entries to leave: all wanted ones are there."""
+        """Return connected entries to leave, once all wanted ones are up."""
         targets = {member.entry_id for member in self._targets()}
         connected = set(self.connected)
-        chosen = {member.entry_id for member in self._chosen_of_those_up()}
+        chosen = {member.entry_id for member in self._subset_of_reachable()}
         if not chosen or chosen - connected:
             return []
         return sorted(connected - targets)
 
     def to_tell(self) -> dict[str, tuple[EntryMember, ...]]:
-        """Return, by entry, the connected entries that its list lacks.
+        """Return, by entry, the connected entries missing from its list.
 
-        Only an entry that this agent is connected to is told of, so that a
-        dead one does not stay in the lists by being passed on.
+        Only connected entries are reported, so that the lists do not keep a
+        dead entry alive.
         """
-        now = self._clock.now()
-        if now < self._told_at + _TELL_MS:
+        now_ms = self._clock.now()
+        if now_ms < self._reported_at + _REPORT_INTERVAL_MS:
             return {}
-        self._told_at = now
+        self._reported_at = now_ms
         connected = self.connected
-        here = [each for each in self.members if each.entry_id in connected]
-        lacking_by_source = {}
+        present = [
+            member for member in self.members if member.entry_id in connected
+        ]
+        missing_by_source = {}
         for source, listed in self._members_by_source.items():
-            told = self._told_by_source.setdefault(source, set())
-            own = {member.entry_id for member in listed} - told
-            lacking = tuple(each for each in here if each.entry_id not in own)
-            told.update(member.entry_id for member in lacking)
-            if lacking:
-                lacking_by_source[source] = lacking
-        return lacking_by_source
-
-    def _free_seed(self, entry_id: str) -> None:
-        """Count a connection made through a seed as one to the entry itself.
-
-        Else a balancer's address would stay taken for as long as the entry
-        that it first led to lives, and the entries behind it would be seen
-        by no agent that did not happen to land on them.
+            reported = self._reported_by_source.setdefault(source, set())
+            own_ids = {member.entry_id for member in listed} - reported
+            missing = tuple(
+                member for member in present if member.entry_id not in own_ids
+            )
+            reported.update(member.entry_id for member in missing)
+            if missing:
+                missing_by_source[source] = missing
+        return missing_by_source
+
+    def _release_seed(self, entry_id: str) -> None:
+        """Attribute a connection made through a seed to the entry's address.
+
+        Otherwise a load balancer's address would stay in use while the entry
+        that it first led to lives, and the agent could not find the other
+        entries behind it.
         """
-        own = [
+        own_addresses = [
             member.address
             for member in self._members_by_source[entry_id]
             if member.entry_id == entry_id
         ]
         address = self._addresses.address_of(entry_id)
-        if address is None or not own or address in own:
+        if address is None or not own_addresses or address in own_addresses:
             return
         self.skipped(address)
-        self.opened(own[0], entry_id)
+        self.opened(own_addresses[0], entry_id)
 
     def _targets(self) -> tuple[EntryMember, ...]:
-        """The subset, a replacement for each that is down, and holders.
+        """Return the entries to connect to.
 
-        In that order and without repeats, the same in each run: the order of
-        dialling follows from it.
+        These are the subset, replacements for its entries that are down, and
+        the holders of pinned shards, without duplicates. The order is
+        deterministic, as it determines the order of dialling.
         """
         members = self.members
         holders = {
@@ -205,31 +223,33 @@
         }
         targets = [
             *self._subset(frozenset()),
-            *self._chosen_of_those_up(),
+            *self._subset_of_reachable(),
             *(member for member in members if member.entry_id in holders),
         ]
         return tuple(dict.fromkeys(targets))
 
-    def _chosen_of_those_up(self) -> tuple[EntryMember, ...]:
+    def _subset_of_reachable(self) -> tuple[EntryMember, ...]:
         return self._subset(self._addresses.down)
 
     def _subset(self, down: frozenset[str]) -> _Subset:
-        """Choose among all but the addresses that are down.
+        """Choose the subset from all entries that are not down.
 
-        Kept until the lists change: ranking hundreds of entries in each turn
-        would cost an agent more than all else that it does.
+        Cached until the lists change: ranking hundreds of entries on each
+        tick would cost an agent more than all its other work.
         """
         members = self.members
         if down not in self._subset_by_down:
             if len(self._subset_by_down) >= _MAX_SUBSETS:
                 self._subset_by_down.clear()
-            is_up = [each for each in members if each.address not in down]
-            chosen = choose_entries(self._agent_id, is_up, self._size)
+            reachable = [
+                member for member in members if member.address not in down
+            ]
+            chosen = choose_entries(self._agent_id, reachable, self._size)
             self._subset_by_down[down] = chosen
         return self._subset_by_down[down]
 
     def _due_seeds(self, is_missing: bool) -> list[str]:
-        """Seeds that are listed entries' addresses count as those."""
+        """Return the seeds that are not addresses of listed entries."""
         listed = {member.address for member in self.members}
         is_missing = is_missing or not self.connected
         seeds = [seed for seed in self._seeds if seed not in listed]
@@ -237,15 +257,19 @@
             self._addresses.hasten(seeds)
         return seeds
 
-    def _forget(self) -> None:
-        """Drop what has failed for long and no connected entry lists."""
+    def _forget_failed(self) -> None:
+        """Remove addresses that have failed for long and are not listed."""
         listed = {
             member.address
-            for each in self._members_by_source.values()
-            for member in each
+            for members in self._members_by_source.values()
+            for member in members
         }
-        gone = self._addresses.forget_failed(listed, self._seeds)
-        kept = tuple(each for each in self._kept if each.address not in gone)
-        if kept != self._kept:
-            self._kept = kept
+        failed = self._addresses.forget_failed(listed, self._seeds)
+        remaining = tuple(
+            member
+            for member in self._last_members
+            if member.address not in failed
+        )
+        if remaining != self._last_members:
+            self._last_members = remaining
             self._members = None
--- a/hyssopring/membership/fleet.py
+++ b/hyssopring/membership/fleet.py
@@ -1,6 +1,6 @@
-"""What an entry knows of the agents connected to it and their backends.
+"""The agents connected to an entry, and their backend servers.
 
-There is no list of back ends anywhere: agents connect and announce.
+Backend servers are not configured anywhere: agents connect and announce them.
 """
 
 from dataclasses import dataclass, field
@@ -19,12 +19,12 @@
 
 @dataclass(slots=True)
 class BackendView:
-    """One backend server as this entry sees it.
+    """State of a backend server as known to this entry.
 
     Attributes:
-        report: The agent's latest report, as old as ``reported_at``.
-        in_flight: Calls that this entry has sent and not seen answered.
-        since: When this entry first heard of it, for slow start.
+        report: The agent's latest report, received at ``reported_at``.
+        since: When it was first reported to this entry, for slow start.
+        in_flight: Number of this entry's calls without a response.
     """
 
     agent: 'AgentRecord'
@@ -44,14 +44,17 @@
 
 @dataclass(slots=True)
 class AgentRecord:
-    """One connected agent.
+    """A connected agent.
 
     Attributes:
-        generation: Counts connections; messages of older ones are foreign.
-        sequence: Of the last heartbeat heard.
-        is_suspect: It has not answered a ping in time.
-        heartbeat_interval_ms: How long it may leave between heartbeats.
-        worker_boot: Empty while the agent's worker does not answer.
+        generation: Number of its connection; messages of connections with a
+            lower number are ignored.
+        heard_at: When its last heartbeat was received.
+        heartbeat_interval_ms: Maximum time between its heartbeats.
+        sequence: Number of its last heartbeat.
+        is_suspect: It has not responded to a ping in time.
+        worker_boot: Incarnation of its worker; empty while the worker does
+            not respond.
     """
 
     agent_id: str
@@ -76,7 +79,7 @@
     """The connected agents by id, and their backend servers by service."""
 
     def __init__(self) -> None:
-        """Start empty: agents dial in."""
+        """Start without agents."""
         self._agent_by_id: dict[str, AgentRecord] = {}
         self._backends_by_service: dict[str, list[BackendView]] = {}
         self._generation = 0
@@ -90,15 +93,15 @@
         )
 
     def agent(self, agent_id: str) -> AgentRecord | None:
-        """Return a connected agent."""
+        """Return a connected agent, or None."""
         return self._agent_by_id.get(agent_id)
 
     def __len__(self) -> int:
-        """Return how many agents are connected."""
+        """Return the number of connected agents."""
         return len(self._agent_by_id)
 
     def lowest_version(self) -> int | None:
-        """Return the lowest configuration version of an agent, if any."""
+        """Return the lowest configuration version among agents, if any."""
         return min(
             (
                 record.configuration_version
@@ -115,8 +118,8 @@
         """Return the services that have a backend server."""
         return iter(sorted(self._backends_by_service))
 
-    def connect(self, hello: Hello, now: float) -> AgentRecord:
-        """Take in a new connection; it replaces an older one."""
+    def connect(self, hello: Hello, now_ms: float) -> AgentRecord:
+        """Add an agent's connection; it replaces an older one."""
         self._generation += 1
         self.disconnect(hello.agent_id)
         record = AgentRecord(
@@ -128,13 +131,13 @@
             capacity=hello.capacity,
             free=hello.capacity,
             configuration_version=hello.configuration_version,
-            heard_at=now,
+            heard_at=now_ms,
         )
         self._agent_by_id[hello.agent_id] = record
         return record
 
     def disconnect(self, agent_id: str) -> AgentRecord | None:
-        """Forget an agent and its backends."""
+        """Remove an agent and its backend servers."""
         record = self._agent_by_id.pop(agent_id, None)
         if record is not None:
             record.backend_by_id.clear()
@@ -144,37 +147,42 @@
     def heartbeat(
         self,
         record: AgentRecord,
-        beat: Heartbeat,
-        now: float,
+        message: Heartbeat,
+        now_ms: float,
     ) -> None:
-        """Take an agent's report of its own state; it is complete."""
-        record.heard_at = now
-        record.sequence = beat.sequence
-        record.free = beat.free
-        record.usage = beat.usage
-        record.configuration_version = beat.configuration_version
-        record.is_stopping = beat.stopping
-        record.worker_boot = beat.worker_boot
-        known = record.backend_by_id
+        """Update an agent's state from its heartbeat.
+
+        A heartbeat lists all backend servers; others are removed.
+        """
+        record.heard_at = now_ms
+        record.sequence = message.sequence
+        record.free = message.free
+        record.usage = message.usage
+        record.configuration_version = message.configuration_version
+        record.is_stopping = message.stopping
+        record.worker_boot = message.worker_boot
+        known_views = record.backend_by_id
         record.backend_by_id = {
-            report.backend_id: self._view(record, known, report, now)
-            for report in beat.backends
+            report.backend_id: self._updated_view(
+                record, known_views, report, now_ms
+            )
+            for report in message.backends
         }
-        if known.keys() != record.backend_by_id.keys():
+        if known_views.keys() != record.backend_by_id.keys():
             self._reindex()
 
-    def _view(
+    def _updated_view(
         self,
         record: AgentRecord,
-        known: dict[str, BackendView],
+        known_views: dict[str, BackendView],
         report: BackendReport,
-        now: float,
+        now_ms: float,
     ) -> BackendView:
-        view = known.get(report.backend_id)
+        view = known_views.get(report.backend_id)
         if view is None or view.report.service_name != report.service_name:
-            return BackendView(record, report, reported_at=now, since=now)
+            return BackendView(record, report, reported_at=now_ms, since=now_ms)
         view.report = report
-        view.reported_at = now
+        view.reported_at = now_ms
         return view
 
     def _reindex(self) -> None:
--- a/hyssopring/membership/subset.py
+++ b/hyssopring/membership/subset.py
@@ -1,9 +1,9 @@
-"""Which entries an agent connects to.
+"""Choice of the entries that an agent connects to.
 
-Up to ``FULL_MESH`` entries an agent connects to all of them. Beyond, it takes
-that many by rendezvous hashing, spread over zones: every agent works it out
-alone, the agents spread evenly over the entries, and an entry that comes or
-goes moves only the agents that gain or lose it.
+An agent connects to all entries if there are at most ``FULL_MESH``. Otherwise
+it chooses that many by rendezvous hashing, spread over zones. Agents need no
+coordination, are spread evenly over the entries, and when an entry is added
+or removed only the agents that gain or lose it change connections.
 """
 
 import hashlib
@@ -25,10 +25,10 @@
     members: Iterable[EntryMember],
     size: int = FULL_MESH,
 ) -> tuple[EntryMember, ...]:
-    """Return the entries of an agent's subset, the best ones first.
+    """Return the entries of an agent's subset, best ranked first.
 
-    One of each zone in turn, so that a lost zone takes no more than its
-    share of the connections.
+    Zones alternate, so that the loss of a zone ends no more than its share
+    of the connections.
     """
     by_zone: dict[str, list[EntryMember]] = {}
     ranked = sorted(
@@ -38,12 +38,12 @@
     for member in ranked:
         by_zone.setdefault(member.zone, []).append(member)
     zones = sorted(by_zone, key=lambda zone: _score(agent_id, zone))
-    turns = zip_longest(*(by_zone[zone] for zone in zones))
-    spread = [member for member in chain.from_iterable(turns) if member]
-    return tuple(spread[:size])
+    rounds = zip_longest(*(by_zone[zone] for zone in zones))
+    interleaved = [member for member in chain.from_iterable(rounds) if member]
+    return tuple(interleaved[:size])
 
 
 @lru_cache(maxsize=_MAX_SCORES)
-def _score(agent_id: str, name: str) -> bytes:
-    text = f'{agent_id}|{name}'
+def _score(agent_id: str, candidate: str) -> bytes:
+    text = f'{agent_id}|{candidate}'
     return hashlib.blake2b(text.encode(), digest_size=_SCORE_BYTES).digest()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who finds whom: subsets, replaced entries, silence, duplicates, herds."""
+"""Discovery: subsets, replaced entries, silent links, duplicate ids, backoff."""
 
 import json
 import random
@@ -53,11 +53,11 @@
 
 @pytest.mark.parametrize('is_store_down', [False, True])
 def test_agents_follow_when_all_entries_are_replaced(is_store_down):
-    """After a night of VM replacements no entry can reach a backend server.
+    """Guards against entries that reach no backend after all were replaced.
 
-    Every entry is replaced by a fresh one with another address; with the
-    store down none of them can register, so no list names them. The agents
-    reach one through the balancer and tell it of the others.
+    Every entry is replaced by a new one with another address. With the store
+    down none of them can register, so no list contains them. The agents
+    reach one through the load balancer and report the others to it.
     """
     deployment = VirtualDeployment(entries=3, agents=3, seeds=[BALANCER])
     for number in range(3):
@@ -76,9 +76,9 @@
         deployment.kill_entry(number)
         deployment.add_entry(number + 10, 'paddock')
         deployment.run(20_000)
-    fresh = ['entry-10', 'entry-11', 'entry-12']
+    new_entries = ['entry-10', 'entry-11', 'entry-12']
     for agent in deployment.agent_by_name.values():
-        assert connected(agent) == fresh
+        assert connected(agent) == new_entries
         assert agent.core.configuration.version == 2
     for number in (10, 11, 12):
         asked = deployment.call(entry=number)
@@ -86,15 +86,15 @@
         assert deployment.answer(asked).status == 200
     deployment.run(30_000)
     addresses = {m.address for m in deployment.agent().core.directory.members}
-    assert addresses == set(fresh)
+    assert addresses == set(new_entries)
 
 
 @pytest.mark.parametrize('silent', ['is_silent_to_agent', 'is_silent_to_entry'])
 def test_half_open_connection_is_found_by_both_ends_and_replaced(silent):
-    """A backend gets no calls although its agent believes it is connected.
+    """Guards against a backend without calls although its agent is connected.
 
-    Something between the two ends forgets the connection in one direction;
-    no end of it ever arrives, while new connections work.
+    A device between the two ends drops the connection in one direction.
+    Neither end is notified, while new connections work.
     """
     deployment = VirtualDeployment(entries=1, agents=1)
     deployment.run(3000)
@@ -106,11 +106,11 @@
     assert len(deployment.entry().core.fleet) == 1
 
 
-def test_two_agents_with_one_id_do_not_end_each_others_calls_for_ever():
-    """Calls to one VM fail several times a second.
+def test_two_agents_with_one_id_do_not_keep_ending_each_others_calls():
+    """Guards against calls to a VM that fail several times a second.
 
-    By mistake two VMs have the same agent id, and each takes the other's
-    place at the entry again and again.
+    By mistake two VMs have the same agent id, and each replaces the other's
+    connection to the entry again and again.
     """
     deployment = VirtualDeployment(entries=1, agents=1)
     deployment.run(3000)
@@ -123,7 +123,7 @@
 
 
 def directories(count, clock, entry_count=1):
-    listed = tuple(members(entry_count))
+    listed_members = tuple(members(entry_count))
     for number in range(count):
         rng = random.Random(number)
         directory = EntryDirectory(
@@ -131,11 +131,11 @@
         )
         for address in directory.due():
             directory.opened(address, 'entry-0')
-        directory.learn('entry-0', listed, ())
+        directory.learn('entry-0', listed_members, ())
         yield directory
 
 
-def test_last_list_outlives_its_entries_for_ten_minutes():
+def test_last_list_is_kept_for_ten_minutes_after_its_entries_failed():
     clock = ManualClock(1000)
     (agent,) = directories(1, clock, entry_count=3)
     agent.lost('entry-0')
@@ -147,7 +147,7 @@
     assert agent.due() == ['10.0.0.0:1']
 
 
-def test_agents_of_an_entry_that_comes_back_do_not_arrive_together():
+def test_agents_of_a_returning_entry_do_not_reconnect_together():
     clock = ManualClock(1000)
     agents = list(directories(300, clock))
     for agent in agents:
@@ -169,10 +169,10 @@
 
 
 def test_tasks_go_on_when_their_planner_moves_outside_the_subset():
-    """Index keepers are restarted each time that an entry is replaced.
+    """Guards against keepers that restart each time an entry is replaced.
 
     Agents connect to two of six entries. The planner's shard is taken over by
-    an entry that the agent is not connected to, so nobody renews the lease.
+    an entry that the agent is not connected to, so no entry renews the lease.
     """
     deployment = VirtualDeployment(entries=6, agents=4, subset=2)
     deployment.run(15_000)
@@ -227,7 +227,7 @@
     assert set(registry.agent_version_by_entry.values()) <= {1, None}
 
 
-def test_pace_of_heartbeats_follows_the_number_of_agents():
+def test_heartbeat_interval_grows_with_the_number_of_agents():
     assert [heartbeat_interval_ms(n) for n in (3, 100, 250, 1020)] == [
         1000,
         1000,
