--- a/hyssopring/jobs/documents.py
+++ b/hyssopring/jobs/documents.py
@@ -58,8 +58,8 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'JobRow':
-        """Read a row; raises MalformedRowError."""
-        row = _read(_JOB_ROW, 'job', text)
+        """Parse a row; raises MalformedRowError."""
+        row = _parse(_JOB_ROW, 'job', text)
         if not math.isfinite(row.accepted_ms) or not row.job.is_valid:
             raise MalformedRowError('job: invalid steps or accepted_ms')
         return row
@@ -90,8 +90,8 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'ProgressRow':
-        """Read a row; raises MalformedRowError."""
-        row = _read(_PROGRESS_ROW, 'progress', text)
+        """Parse a row; raises MalformedRowError."""
+        row = _parse(_PROGRESS_ROW, 'progress', text)
         if row.state not in _FINAL_STATE_TEXTS or not math.isfinite(
             row.ended_ms
         ):
@@ -127,8 +127,8 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'OwnerRow':
-        """Read a row; raises MalformedRowError."""
-        row = _read(_OWNER_ROW, 'owner', text)
+        """Parse a row; raises MalformedRowError."""
+        row = _parse(_OWNER_ROW, 'owner', text)
         if not 0 <= row.reign < _MAX_EPOCH:
             raise MalformedRowError('owner: reign out of range')
         return row
@@ -169,7 +169,11 @@
 
 @dataclass(frozen=True)
 class FormerOwnersRow:
-    """Former owners, before the one in the owner row, that may still act."""
+    """Owners before the one in the owner row.
+
+    Attributes:
+        reigns: Those that may still act as owner.
+    """
 
     reigns: tuple[FormerOwnerProcess, ...]
 
@@ -181,7 +185,7 @@
         never found dead, and is waited for as long as any silent one.
         """
         try:
-            return _read(_FORMER_OWNERS_ROW, 'wait', row.text)
+            return _parse(_FORMER_OWNERS_ROW, 'wait', row.text)
         except MalformedRowError:
             return cls(
                 (FormerOwnerProcess('?', f'?{row.version}', row.version),)
@@ -214,7 +218,7 @@
     def from_row(cls, row: Row | None) -> 'RosterRow':
         """Parse a row; a missing or malformed one covers no epoch."""
         try:
-            return _read(_ROSTER_ROW, 'roster', row.text if row else '')
+            return _parse(_ROSTER_ROW, 'roster', row.text if row else '')
         except MalformedRowError:
             return cls(0, 0)
 
@@ -238,9 +242,9 @@
     """An agent that may run tasks of a shard.
 
     Attributes:
-        over_ms: Set for an agent that was absent: the time, by the store's
-            clock, when all leases that any owner granted it have expired,
-            unless the row has changed since.
+        over_ms: Set for an agent that was unreachable: the time, by the
+            store's clock, when all leases that any owner granted it have
+            expired, unless the row has changed since.
         reign: Epoch of the owner that wrote ``over_ms``.
         tasks: Names of the keeper tasks that it may run.
     """
@@ -252,7 +256,7 @@
     @classmethod
     def from_text(cls, text: str) -> 'AgentRow':
         """Parse a row, which may be empty; raises MalformedRowError."""
-        row = _read(_AGENT_ROW, 'agent', text) if text else cls()
+        row = _parse(_AGENT_ROW, 'agent', text) if text else cls()
         is_time = row.over_ms is None or math.isfinite(row.over_ms)
         if not is_time or not 0 <= row.reign < _MAX_EPOCH:
             raise MalformedRowError('agent: invalid over_ms or reign')
@@ -260,7 +264,7 @@
 
     @property
     def is_suspended(self) -> bool:
-        """Whether the agent was absent when the row was written."""
+        """Whether the agent was unreachable when the row was written."""
         return self.over_ms is not None
 
     def to_text(self) -> str:
@@ -289,8 +293,8 @@
 
     @classmethod
     def from_text(cls, text: str) -> 'EntryRow':
-        """Read a row; raises MalformedRowError."""
-        row = _read(_ENTRY_ROW, 'entry', text)
+        """Parse a row; raises MalformedRowError."""
+        row = _parse(_ENTRY_ROW, 'entry', text)
         if not 0 <= row.cores < math.inf:
             raise MalformedRowError('entry: cores out of range')
         return row
@@ -300,7 +304,7 @@
         return _ENTRY_ROW.dump_json(self).decode()
 
 
-def _read(adapter: TypeAdapter[_Document], kind: str, text: str) -> _Document:
+def _parse(adapter: TypeAdapter[_Document], kind: str, text: str) -> _Document:
     try:
         return adapter.validate_json(text)
     except ValidationError as error:
--- a/tests/test_border_incarnations.py
+++ b/tests/test_border_incarnations.py
@@ -28,7 +28,7 @@
     _emit._listeners.remove(on_event)
 
 
-def look(worker, **fields):
+def poll(worker, **fields):
     worker._client = Answers(200, {'clockMs': 1, **fields})
     return result_of(worker.poll(type('PollRequest', (), LOOK)))
 
@@ -36,7 +36,7 @@
 def test_restart_under_the_same_id_is_logged_once(restarts):
     worker = worker_with(None)
     for born in (BORN, BORN, BORN + 5000, BORN + 5000):
-        look(worker, born=born, running=[], finished=[[1]])
+        poll(worker, born=born, running=[], finished=[[1]])
     assert len(restarts) == 1
     assert restarts[0]['before'] == f'i-1#{BORN}'
     assert restarts[0]['boot'] == f'i-1#{BORN + 5000}'
@@ -46,7 +46,7 @@
 def test_worker_that_reports_no_start_time_has_no_restart(restarts):
     worker = worker_with(None)
     for _poll in range(2):
-        look(worker)
+        poll(worker)
     assert not restarts
 
 
@@ -61,18 +61,18 @@
 
 
 def test_integer_and_float_start_name_the_same_incarnation():
-    whole = boot_name('i-1', BORN)
-    assert whole == boot_name('i-1', float(BORN)) == f'i-1#{BORN}'
+    boot = boot_name('i-1', BORN)
+    assert boot == boot_name('i-1', float(BORN)) == f'i-1#{BORN}'
 
 
 class Reports:
     """An agent's resource for reports; records what it has passed on."""
 
     def __init__(self):
-        self.boots, self.left = [], []
+        self.boots, self.deregistered = [], []
         self._resource = ReportsResource(
-            lambda told: self.boots.append(told.boot),
-            self.left.append,
+            lambda report: self.boots.append(report.boot),
+            self.deregistered.append,
             (OWN_HOST,),
         )
 
@@ -101,7 +101,7 @@
     reports = Reports()
     reports.send_heartbeat(born=BORN + 1)
     reports.deregister({'born': BORN})
-    assert reports.left == [f'i-1#{BORN}']
+    assert reports.deregistered == [f'i-1#{BORN}']
 
 
 @pytest.mark.parametrize(
@@ -112,11 +112,11 @@
     reports = Reports()
     reports.send_heartbeat(born=BORN, state=state)
     reports.deregister({})
-    assert reports.left == [boot]
+    assert reports.deregistered == [boot]
 
 
 @pytest.mark.parametrize(
-    ('asked', 'born', 'boot'),
+    ('requested', 'born', 'boot'),
     [
         (f'i-1#{BORN}', BORN, f'i-1#{BORN}'),
         (f'i-1#{BORN}', BORN + 1, f'i-1#{BORN + 1}'),
@@ -124,10 +124,10 @@
         ('i-1', BORN, 'i-1'),
     ],
 )
-def test_listing_names_the_incarnation_that_responded(asked, born, boot):
+def test_listing_names_the_incarnation_that_responded(requested, born, boot):
     worker = worker_with(Answers(200, {'clockMs': 1, 'born': born}))
     listing = result_of(
-        worker.poll(type('PollRequest', (), {**LOOK, 'boot': asked}))
+        worker.poll(type('PollRequest', (), {**LOOK, 'boot': requested}))
     )
     assert listing.boot == boot
 
@@ -165,4 +165,4 @@
         reports._resource, 'i-1', {**GOOD, 'born': BORN}, verb, '10.1.0.9'
     )
     assert status == 403
-    assert not reports.boots and not reports.left
+    assert not reports.boots and not reports.deregistered
--- a/tests/test_border_rows.py
+++ b/tests/test_border_rows.py
@@ -72,10 +72,10 @@
     peers = PeerEntries(clock, 'me')
     good = EntryRow('b:1', '1', (0,), 2).to_text()
     peers.read([entry_row('b', good)])
-    peers.read([entry_row('b', 'odd', 2)])
+    peers.read([entry_row('b', 'malformed', 2)])
     assert peers.addresses and peers.is_owner_live(OwnerRow('b', '1', 1), 1)
     clock.advance(10_000)
-    peers.read([entry_row('b', 'odd', 3)])
+    peers.read([entry_row('b', 'malformed', 3)])
     assert not peers.addresses
     peers.read([entry_row('b', good, 4)])
     assert peers.addresses
@@ -87,7 +87,7 @@
     job = a_job(steps=((6, ()), (2, (0,))))
     deployment.submit(job)
     deployment.run(1)
-    put(deployment, RowKey(ENTRIES_TABLE, '', 'odd'), text)
+    put(deployment, RowKey(ENTRIES_TABLE, '', 'malformed'), text)
     deployment.kill_entry(deployment.owner)
     deployment.run(14)
     survivor = deployment.owner
@@ -185,7 +185,7 @@
 def test_job_whose_row_is_repaired_runs():
     deployment = settled()
     deployment.book.sizes[JOB.job_id] = JOB.steps[0].reserved_size
-    put(deployment, job_key(JOB.job_id), 'odd')
+    put(deployment, job_key(JOB.job_id), 'malformed')
     deployment.run(4)
     put(deployment, job_key(JOB.job_id), JobRow(JOB, 0).to_text())
     deployment.run(6)
@@ -233,7 +233,7 @@
 def test_state_of_a_job_with_malformed_progress_is_unknown():
     deployment = settled()
     put(deployment, job_key(JOB.job_id), JobRow(JOB, 0).to_text())
-    put(deployment, progress_key(JOB.job_id), 'odd')
+    put(deployment, progress_key(JOB.job_id), 'malformed')
     deployment.entries[deployment.owner].core.owner.shards.by_shard.clear()
     states = []
     desk = deployment.entries['entry-0'].core.job_api
@@ -309,7 +309,7 @@
         )
         row_key = rng.choice(row_keys)
         put(deployment, row_key, rng.choice(MALFORMED_ENTRIES))
-        put(deployment, RowKey(ENTRIES_TABLE, '', f'x{number}'), 'odd')
+        put(deployment, RowKey(ENTRIES_TABLE, '', f'x{number}'), 'malformed')
         deployment.run(20)
         job = a_job(number, steps=((2, ()),))
         deployment.submit(job)
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -32,9 +32,9 @@
 
 class Reports:
     def __init__(self):
-        self.heartbeats, self.left = [], []
+        self.heartbeats, self.deregistered = [], []
         self.resource = ReportsResource(
-            self.heartbeats.append, self.left.append, (OWN_HOST,)
+            self.heartbeats.append, self.deregistered.append, (OWN_HOST,)
         )
 
     def post(self, body, boot='i-1', verb='heartbeat'):
@@ -108,7 +108,9 @@
 def test_malformed_boot_name_is_rejected(boot, verb, errors):  # noqa: F811
     reports = Reports()
     assert reports.post(json.dumps(GOOD).encode(), boot, verb) == 400
-    assert not reports.heartbeats and not reports.left and len(errors) == 1
+    assert (
+        not reports.heartbeats and not reports.deregistered and len(errors) == 1
+    )
 
 
 def test_mutated_heartbeats_are_accepted_or_rejected():
@@ -124,7 +126,7 @@
 FINISHED_ROW = [58, '5c0e7a21d94b36f8.0.1.9', 1, 'done', '']
 
 
-def look(worker, **fields):
+def poll(worker, **fields):
     worker._client = Answers(200, {'clockMs': 1, **fields})
     return result_of(worker.poll(type('PollRequest', (), LOOK)))
 
@@ -134,7 +136,7 @@
     worker = worker_with(None)
     malformed = [57, TASK, 2, how, 'c']
     for _repetition in range(3):
-        listing = look(worker, finished=[malformed, FINISHED_ROW])
+        listing = poll(worker, finished=[malformed, FINISHED_ROW])
     assert [end.how for end in listing.ends] == [
         AttemptEnd.STOPPED,
         AttemptEnd.DONE,
@@ -155,7 +157,7 @@
 def test_end_without_a_valid_attempt_is_acknowledged(malformed, errors):  # noqa: F811
     worker, ends = worker_with(None), EndTable()
     for _repetition in range(3):
-        listing = look(worker, finished=[FINISHED_ROW, malformed])
+        listing = poll(worker, finished=[FINISHED_ROW, malformed])
     assert [end.number for end in listing.ends] == [58]
     ends.add(listing.ends[0])
     ends.skip(listing.last_unidentified_end)
@@ -171,7 +173,7 @@
 def test_malformed_row_of_a_running_task_hides_no_other(malformed, errors):  # noqa: F811
     worker = worker_with(None)
     for _repetition in range(3):
-        listing = look(
+        listing = poll(
             worker, running=[malformed, RUNNING_ROW], finished=[FINISHED_ROW]
         )
     assert [row.task for row in listing.rows] == [TASK]
@@ -183,7 +185,7 @@
     'row', [[TASK], [TASK, 'x', 7, None, []], [TASK, -1, '', 10**30, '']]
 )
 def test_task_of_a_malformed_row_counts_as_running(row):
-    listing = look(worker_with(None), running=[row])
+    listing = poll(worker_with(None), running=[row])
     assert listing.is_complete and listing.rows[0].task == TASK
     table = AttemptTable()
     assert table.listed(listing.rows[0], 0).number == 0
@@ -192,8 +194,8 @@
 def test_listing_with_a_malformed_field_fails(errors):  # noqa: F811
     worker = worker_with(None)
     for _repetition in range(3):
-        assert look(worker, clockMs='x').check(WorkerUnreachable)
-        assert look(worker, finished=7).check(WorkerUnreachable)
+        assert poll(worker, clockMs='x').check(WorkerUnreachable)
+        assert poll(worker, finished=7).check(WorkerUnreachable)
     assert len(errors) == 1
 
 
@@ -221,9 +223,9 @@
     assert len(starts_of(deployment, job)) == 4
 
 
-def hide_rows(worker, original_look):
-    def look(asked):
-        listing = original_look(asked)
+def hide_rows(worker, original_poll):
+    def poll_without_rows(request):
+        listing = original_poll(request)
         return Listing(listing.clock_ms, (), listing.ends, not listing.rows)
 
-    return look
+    return poll_without_rows
