--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -121,7 +121,7 @@
             self.fleet.disconnected(agent_id)
 
     @singledispatchmethod
-    def take(self, message: JobsMessage, peer_id: str) -> None:
+    def handle_message(self, message: JobsMessage, peer_id: str) -> None:
         """Take a message of an agent or an entry."""
         log_event(
             Event.PEER_ERROR,
@@ -129,7 +129,7 @@
             detail=f'unexpected {type(message).__name__}',
         )
 
-    @take.register
+    @handle_message.register
     def _take_report(self, message: WorkerReport, peer_id: str) -> None:
         worker = self.fleet.by_agent.get(peer_id)
         if worker is None:
@@ -137,16 +137,16 @@
         if not self.owner.shards.by_shard:
             # The agent takes any answer for a sign of life.
             self._peers.answer(peer_id, Grant(message.sequence, [], 0))
-        self.owner.take(message, worker)
+        self.owner.handle_message(message, worker)
 
-    @take.register(AgentLeft)
-    @take.register(StartRefusal)
+    @handle_message.register(AgentLeft)
+    @handle_message.register(StartRefusal)
     def _take_agents_word(self, message: JobsMessage, peer_id: str) -> None:
         worker = self.fleet.by_agent.get(peer_id)
         if worker is not None:
-            self.owner.take(message, worker)
+            self.owner.handle_message(message, worker)
 
-    @take.register
+    @handle_message.register
     def _take_notice(self, message: JobNotice, peer_id: str) -> None:
         shard = shard_of(message.job_id)
         if shard in self.owner.shards.by_shard:
@@ -158,19 +158,19 @@
             owner = self._membership.owner_of(shard)
             self._peers.to_entry(owner, passed_on)
 
-    @take.register
+    @handle_message.register
     def _take_given_up(self, message: ShardReleased, peer_id: str) -> None:
-        self._given_up.take(message, self._clock.now())
+        self._given_up.handle_message(message, self._clock.now())
         owned = self.owner.shards.by_shard.get(message.shard)
         if owned is not None:
             self._given_up.announce(owned, self.fleet)
             self.owner.hear_departed()
 
-    @take.register
+    @handle_message.register
     def _take_cancel(self, message: CancelNotice, peer_id: str) -> None:
         self.owner.shards.cancel(message.job_id)
 
-    @take.register
+    @handle_message.register
     def _take_question(self, message: JobStateRequest, peer_id: str) -> None:
         state = self.owner.shards.state_of(message.job_id)
         self._peers.answer(
@@ -178,7 +178,7 @@
             JobStateResponse(message.number, state.value if state else ''),
         )
 
-    @take.register
+    @handle_message.register
     def _take_pending(self, message: PendingJobsRequest, peer_id: str) -> None:
         self._peers.answer(
             peer_id,
@@ -189,28 +189,28 @@
             ),
         )
 
-    @take.register
+    @handle_message.register
     def _take_state(self, message: JobStateResponse, peer_id: str) -> None:
         self._questions.answered(message.number, message)
 
-    @take.register
+    @handle_message.register
     def _take_count(self, message: PendingJobsResponse, peer_id: str) -> None:
         self._questions.answered(message.number, message)
 
-    @take.register(RelayedCommit)
-    @take.register(RelayedRead)
-    @take.register(RelayedChanges)
+    @handle_message.register(RelayedCommit)
+    @handle_message.register(RelayedRead)
+    @handle_message.register(RelayedChanges)
     def _take_relayed(self, message: JobsMessage, peer_id: str) -> None:
         self._store.serve(message, peer_id)
 
-    @take.register(ConfigurationNotice)
-    @take.register(ConfigurationRequest)
-    @take.register(ConfigurationText)
-    @take.register(ConfigurationPart)
+    @handle_message.register(ConfigurationNotice)
+    @handle_message.register(ConfigurationRequest)
+    @handle_message.register(ConfigurationText)
+    @handle_message.register(ConfigurationPart)
     def _take_configuration(self, message: JobsMessage, peer_id: str) -> None:
         self.configuration.take(message, peer_id)
 
-    @take.register
+    @handle_message.register
     def _take_outcome(self, message: RelayedResponse, peer_id: str) -> None:
         self._store.answered(message)
 
--- a/hyssopring/jobs/handover.py
+++ b/hyssopring/jobs/handover.py
@@ -45,7 +45,7 @@
         """Know of none."""
         self._by_shard: dict[int, tuple[ShardReleased, float]] = {}
 
-    def take(self, message: ShardReleased, now: float) -> None:
+    def handle_message(self, message: ShardReleased, now: float) -> None:
         """Keep a message of a former owner, received now."""
         self._by_shard[message.shard] = (message, now)
 
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -186,7 +186,7 @@
         self._ask(worker)
 
     @singledispatchmethod
-    def take(self, message: JobsMessage, worker: Worker) -> None:
+    def handle_message(self, message: JobsMessage, worker: Worker) -> None:
         """Take an agent's message."""
         log_event(
             Event.PEER_ERROR,
@@ -194,7 +194,7 @@
             detail=f'unexpected {type(message).__name__}',
         )
 
-    @take.register
+    @handle_message.register
     def _take_report(self, message: WorkerReport, worker: Worker) -> None:
         suspects = self._suspects
         suspects.worker_crashes.record_report(worker, message, suspects.agents)
@@ -227,7 +227,7 @@
             owned.reported.add(worker.agent_id)
             worker.granted_at = self._clock.now()
 
-    @take.register
+    @handle_message.register
     def _take_refusal(self, message: StartRefusal, worker: Worker) -> None:
         placed = worker.placed_by_task.get(message.task)
         # Where an attempt of the task runs, it is none that this owner knows
@@ -246,7 +246,7 @@
             # and each refused task would be sent again at once.
             self._on_deposed(owned)
 
-    @take.register
+    @handle_message.register
     def _take_left(self, message: AgentLeft, worker: Worker) -> None:
         departed = self._fleet.remove_departed(worker, message)
         log_event(
--- a/hyssopring/platform/entry_process.py
+++ b/hyssopring/platform/entry_process.py
@@ -221,7 +221,7 @@
             self.core.configuration.greeted(peer_id)
 
     def _take(self, peer_id: str, message: JobsMessage) -> None:
-        self.core.take(message, peer_id)
+        self.core.handle_message(message, peer_id)
 
 
 def _ignore(_entry_id: str) -> None:
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -131,7 +131,7 @@
         return self.deployment.carry(self, peer_id, message)
 
     def take(self, message, sender):
-        self.core.take(message, sender)
+        self.core.handle_message(message, sender)
 
 
 class WorkerLink:
--- a/tests/test_jobs_former_owners.py
+++ b/tests/test_jobs_former_owners.py
@@ -183,7 +183,7 @@
     desk._tell_owner = lambda shard, message: notices.append(message)
     deployment.submit(job, former.name)
     deployment.run(0.1)
-    former.core.take(notices[0], successor.name)
+    former.core.handle_message(notices[0], successor.name)
     deployment.run(0.5)
     assert len(starts_of(deployment, job)) == 1
 
