--- a/hyssopring/jobs/absences.py
+++ b/hyssopring/jobs/absences.py
@@ -1,84 +1,94 @@
-"""Agents that are away: for how long they may run tasks, as all owners know."""
+"""Writes when the grants of unreachable agents expire, for the next owners."""
 
 from typing import Collection, Final
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet
 from hyssopring.jobs.former_owner import FormerOwner
-from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
 from hyssopring.jobs.store_clock import StoreClock
 
 __all__ = ('Absences',)
 
-# Agents dial a new entry's process within this time, and workers that are slow
-# for a moment answer again: they need no row.
-_AWAY_MS: Final = MILLIS_PER_SECOND
+# Agents reconnect to a restarted entry within this time, and briefly slow
+# workers respond again; neither is worth a write.
+_MIN_ABSENCE_MS: Final = MILLIS_PER_SECOND
 
 
 class Absences:
-    """Writes until when each agent that is away may run tasks.
+    """Writes until when each unreachable agent may run tasks.
 
-    Owners that die in series would each wait for it anew. An agent whose worker
-    is silent may be gone as well before anybody could write that.
+    Without it each owner in a series of failing ones would begin the wait
+    anew. Agents with silent workers are included: such an agent may be lost
+    before its absence can be written.
     """
 
     def __init__(
         self,
         clock: Clock,
         roster: Roster,
-        reign_rows: EpochRows,
+        epoch_rows: EpochRows,
         former: FormerOwner,
-        store_time: StoreClock,
+        store_clock: StoreClock,
     ) -> None:
-        """Know of no agent that is away."""
+        """Create a writer for the rows of ``roster``."""
         self._clock = clock
         self._roster = roster
-        self._reign_rows = reign_rows
+        self._epoch_rows = epoch_rows
         self._former = former
-        self._store_time = store_time
+        self._store_clock = store_clock
 
     def grant_expires_at(self, agent_id: str) -> float:
-        """When nothing that former owners have granted can run any more."""
-        until = self._former.until(agent_id)
-        told = self._roster.over_at(agent_id)
-        return until if told is None else min(until, told)
+        """Return when an agent's grants from former owners expire."""
+        former_expires_at = self._former.grant_expires_at(agent_id)
+        stored_expires_at = self._roster.grant_expires_at(agent_id)
+        return (
+            former_expires_at
+            if stored_expires_at is None
+            else min(former_expires_at, stored_expires_at)
+        )
 
-    def check(self, fleet: Fleet, unheard: Collection[str]) -> None:
-        """Write what is not written yet; call a few times a second.
+    def check(self, fleet: Fleet, unreported: Collection[str]) -> None:
+        """Write expiries and remove idle agents; call a few times a second.
 
         Args:
-            fleet: The agents as this entry knows them.
-            unheard: Agents that may still run what former owners ordered.
+            fleet: The agents known to this entry.
+            unreported: Agents that may still run tasks of former owners.
         """
         now = self._clock.now()
         if not self._former.may_act:
-            self._reign_rows.waited()
+            self._epoch_rows.clear_wait()
         for agent_id in self._roster.agents:
-            if agent_id not in unheard and fleet.is_certainly_idle(agent_id):
-                self._strike(agent_id, now)
-        self._suspend(fleet, now)
+            if agent_id not in unreported and fleet.is_certainly_idle(agent_id):
+                self._remove_from_roster(agent_id, now)
+        self._write_expiries(fleet, now)
 
-    def _strike(self, agent_id: str, now: float) -> None:
-        """Take an agent off the roster, unless a former owner may grant it.
+    def _remove_from_roster(self, agent_id: str, now: float) -> None:
+        """Remove an agent from the roster unless it may have a grant.
 
-        It may have granted agents that are away, or their next process; not
-        those whose row says until when.
+        A former owner that may still act may grant unreachable agents or their
+        next processes, except those whose rows set an expiry.
         """
-        told = self._roster.over_at(agent_id)
-        if not self._former.may_act or (told is not None and told < now):
+        stored_expires_at = self._roster.grant_expires_at(agent_id)
+        if not self._former.may_act or (
+            stored_expires_at is not None and stored_expires_at < now
+        ):
             self._roster.remove(agent_id)
 
-    def _suspend(self, fleet: Fleet, now: float) -> None:
-        over_at_by_agent = {}
+    def _write_expiries(self, fleet: Fleet, now: float) -> None:
+        expiry_by_agent = {}
         for agent_id in self._roster.agents:
-            away_since = fleet.unreachable_since(agent_id)
-            if away_since is None or now - away_since < _AWAY_MS:
+            unreachable_since = fleet.unreachable_since(agent_id)
+            if (
+                unreachable_since is None
+                or now - unreachable_since < _MIN_ABSENCE_MS
+            ):
                 continue
-            over_at = max(
+            expires_at = max(
                 self.grant_expires_at(agent_id),
                 fleet.grant_expires_at(agent_id),
             )
-            if over_at > now:
-                over_at_by_agent[agent_id] = over_at
-        self._roster.set_expiries(over_at_by_agent, self._store_time)
+            if expires_at > now:
+                expiry_by_agent[agent_id] = expires_at
+        self._roster.set_expiries(expiry_by_agent, self._store_clock)
--- a/hyssopring/jobs/agent_leases.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -1,4 +1,4 @@
-"""Which entry may order what from an agent, and for how long."""
+"""The leases under which an agent runs the tasks of each shard."""
 
 from dataclasses import dataclass
 from typing import Iterable
@@ -8,88 +8,97 @@
 
 __all__ = ('AgentLeases',)
 
-_MAX_UNANSWERED = 64
+_MAX_UNACKNOWLEDGED = 64
 
 
 @dataclass(slots=True)
-class _Right:
-    """The newest reign of a shard that the agent has heard of."""
+class _Lease:
+    """The newest known epoch of a shard, its owner, and the lease's expiry."""
 
-    reign: int
+    epoch: int
     entry_id: str
-    until: float
+    expires_at: float
 
 
 class AgentLeases:
-    """The owners of the shards as one agent knows them."""
+    """The owners and leases of the shards, as known to one agent."""
 
     def __init__(self) -> None:
-        """Know no owner."""
-        self._right_by_shard: dict[int, _Right] = {}
+        """Create a collection without owners."""
+        self._lease_by_shard: dict[int, _Lease] = {}
         self._sent_at_by_sequence: dict[int, float] = {}
 
-    def observe_epoch(self, shard: int, reign: int, entry_id: str) -> bool:
-        """Take an order's reign; False if a newer one is known."""
-        known = self._right_by_shard.get(shard)
-        if known is None or known.reign < reign:
-            until = 0 if known is None else known.until
-            self._right_by_shard[shard] = _Right(reign, entry_id, until)
+    def observe_epoch(self, shard: int, epoch: int, entry_id: str) -> bool:
+        """Record an order's epoch; return False if a newer one is known."""
+        lease = self._lease_by_shard.get(shard)
+        if lease is None or lease.epoch < epoch:
+            expires_at = 0 if lease is None else lease.expires_at
+            self._lease_by_shard[shard] = _Lease(epoch, entry_id, expires_at)
             return True
-        return known.reign == reign and known.entry_id == entry_id
+        return lease.epoch == epoch and lease.entry_id == entry_id
 
     def note_report_sent(self, sequence: int, now: float) -> None:
-        """Note when a report was sent: a grant counts from then."""
+        """Record when a report was sent; a grant for it counts from then."""
         self._sent_at_by_sequence[sequence] = now
-        if len(self._sent_at_by_sequence) > _MAX_UNANSWERED:
+        if len(self._sent_at_by_sequence) > _MAX_UNACKNOWLEDGED:
             self._sent_at_by_sequence.pop(next(iter(self._sent_at_by_sequence)))
 
     def renew(
         self,
         entry_id: str,
         sequence: int,
-        reigns: Iterable[ShardEpoch],
+        epochs: Iterable[ShardEpoch],
         ttl_ms: float,
     ) -> None:
-        """Take a grant; one of an older reign grants nothing."""
+        """Extend the leases by a grant; one of an older epoch is ignored.
+
+        Args:
+            entry_id: The entry that sent the grant.
+            sequence: The number of the report that it acknowledges.
+            epochs: The shards of that entry with their epochs.
+            ttl_ms: The time from the report until the leases expire.
+        """
         sent_at = self._sent_at_by_sequence.get(sequence)
         if sent_at is None:
             return
-        until = sent_at + min(ttl_ms, GRANT_MS)
-        for granted in reigns:
-            if self.observe_epoch(granted.shard, granted.reign, entry_id):
-                known = self._right_by_shard[granted.shard]
-                known.until = max(known.until, until)
+        expires_at = sent_at + min(ttl_ms, GRANT_MS)
+        for shard_epoch in epochs:
+            if self.observe_epoch(
+                shard_epoch.shard, shard_epoch.reign, entry_id
+            ):
+                lease = self._lease_by_shard[shard_epoch.shard]
+                lease.expires_at = max(lease.expires_at, expires_at)
 
     def expiry_of(self, shard: int) -> float:
-        """Until when the tasks of a shard may run without another grant."""
-        known = self._right_by_shard.get(shard)
-        return known.until if known else 0
+        """Return when the lease of a shard expires, 0 without a lease."""
+        lease = self._lease_by_shard.get(shard)
+        return lease.expires_at if lease else 0
 
     @property
     def latest_expiry(self) -> float:
-        """Until when any task may run."""
+        """The latest expiry of all leases, 0 for none."""
         return max(
-            (known.until for known in self._right_by_shard.values()),
+            (lease.expires_at for lease in self._lease_by_shard.values()),
             default=0,
         )
 
     def owner_of(self, shard: int) -> str:
-        """Return the id of the shard's owner, or an empty text."""
-        known = self._right_by_shard.get(shard)
-        return known.entry_id if known else ''
+        """Return the id of a shard's owner, or an empty string."""
+        lease = self._lease_by_shard.get(shard)
+        return lease.entry_id if lease else ''
 
     def epochs_of(self, entry_id: str) -> list[ShardEpoch]:
-        """The shards that an entry owns, as far as is known here."""
+        """Return the shards whose newest known owner is an entry."""
         return [
-            ShardEpoch(shard, known.reign)
-            for shard, known in self._right_by_shard.items()
-            if known.entry_id == entry_id
+            ShardEpoch(shard, lease.epoch)
+            for shard, lease in self._lease_by_shard.items()
+            if lease.entry_id == entry_id
         ]
 
     def epoch_of(self, shard: int) -> int:
-        """Return the newest reign known, 0 for none."""
-        known = self._right_by_shard.get(shard)
-        return known.reign if known else 0
+        """Return the newest known epoch of a shard, 0 for none."""
+        lease = self._lease_by_shard.get(shard)
+        return lease.epoch if lease else 0
 
     def is_due(self, now: float, last_report_at: float) -> bool:
         """Whether the regular report is due."""
--- a/hyssopring/jobs/end_table.py
+++ b/hyssopring/jobs/end_table.py
@@ -1,4 +1,4 @@
-"""Ends of attempts on a worker, until they are durable."""
+"""Ends of attempts on a worker that are not durable yet."""
 
 from typing import Collection, Iterable
 
@@ -13,10 +13,14 @@
 
 
 class EndTable:
-    """The ends that one boot of a worker has listed, and crashes before it."""
+    """The ends listed by one incarnation of a worker, and earlier crashes.
+
+    Attributes:
+        by_number: The ends by number; those of crashes have negative ones.
+    """
 
     def __init__(self, former: 'EndTable | None' = None) -> None:
-        """Keep the crashes that the boot before has left, and no other end."""
+        """Create a table with only the crashes of the former one."""
         self.by_number: dict[int, EndReport] = {}
         if former is not None:
             self.by_number.update(former.crashes)
@@ -24,18 +28,18 @@
 
     @property
     def crashes(self) -> dict[int, EndReport]:
-        """Ends by crashes of former boots, by their numbers."""
+        """The ends by crashes of former incarnations, by number."""
         return {
             number: end for number, end in self.by_number.items() if number < 0
         }
 
     @property
     def has_unrecorded(self) -> bool:
-        """Whether the worker lists ends that are not durable yet."""
+        """Whether the worker has listed ends that are not durable yet."""
         return len(self.by_number) > len(self.crashes)
 
     def add(self, end: EndRow) -> bool:
-        """Keep an end; False if it was known, a worker lists it again."""
+        """Add an end that a worker has listed; return False if it is known."""
         if end.number <= self._highest:
             return False
         self._highest = end.number
@@ -61,11 +65,12 @@
         attempts: Collection[Attempt],
         now: float,
     ) -> None:
-        """Keep the ends of attempts whose start may have crashed a worker.
+        """Add the ends of attempts whose start may have crashed a worker.
 
         Args:
-            past: The worker's life that is over.
-            attempts: All that were on it.
+            past: The incarnation that has ended.
+            attempts: All attempts on it.
+            now: The time by the clock, in ms.
         """
         if past.is_planned:
             return
@@ -76,16 +81,18 @@
             Event.WORKER_CRASHED,
             boot=past.boot,
             attempts=len(attempts),
-            started=' '.join(f'{each.task}/{each.number}' for each in suspects),
+            started=' '.join(
+                f'{suspect.task}/{suspect.number}' for suspect in suspects
+            ),
             silent_ms=int(now - past.heard_at),
         )
 
     def skip(self, number: int) -> None:
-        """No task is meant by the end of this number."""
+        """Skip the number of an end that names no task."""
         self._highest = max(self._highest, number)
 
     def forget(self, numbers: Iterable[int]) -> None:
-        """These ends are durable."""
+        """Remove ends that are durable."""
         for number in numbers:
             self.by_number.pop(number, None)
 
@@ -103,6 +110,6 @@
         )
 
     def durable_up_to(self) -> int:
-        """Return the number up to which all ends are durable."""
+        """Return the number through which all ends are durable."""
         listed = self.by_number.keys() - self.crashes.keys()
         return min(listed, default=self._highest + 1) - 1
--- a/hyssopring/jobs/entry_membership.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -1,10 +1,9 @@
-"""Which entries live, and which shards this one owns.
+"""Membership of this entry, and takeover of shards from dead entries.
 
-Each entry renews a row of its own. One whose row stays unchanged while the
-store answers is taken for dead, and another entry takes its shards by a
-transaction on the shard's owner row. What an entry does as an owner is
-checked against that row, so an entry that was wrongly taken for dead can
-write nothing more.
+Each entry renews a row of its own. An entry whose row stays unchanged while
+the store responds is considered dead, and another entry takes its shards by
+a transaction on the shard's owner row. All writes of an owner check that row,
+so an entry that was wrongly considered dead cannot write any more.
 """
 
 from dataclasses import replace
@@ -16,8 +15,8 @@
 from hyssopring.jobs.documents import (
     EntryRow,
     FormerOwnerProcess,
-    OwnerRow,
     MalformedRowError,
+    OwnerRow,
 )
 from hyssopring.jobs.former_owner import AcquiredShard
 from hyssopring.jobs.peer_entries import PeerEntries
@@ -43,22 +42,31 @@
 )
 from hyssopring.jobs.shards import SHARD_COUNT
 from hyssopring.jobs.takeover import Takeover
-from hyssopring.jobs.times import OWNER_LEASE_MS, ENTRY_SILENT_MS, RENEW_MS
+from hyssopring.jobs.times import ENTRY_SILENT_MS, OWNER_LEASE_MS, RENEW_MS
 
 __all__ = ('EntryMembership',)
 
-# How long an entry leaves a free shard to each one that comes before it: each
-# looks once in ``RENEW_MS``, and its transaction takes some time.
-_PRECEDENCE_MS: Final = 1.5 * RENEW_MS
+# The delay per rank before an entry takes a free shard: the entries before it
+# check for free shards every ``RENEW_MS``, and their transactions take time.
+_RANK_DELAY_MS: Final = 1.5 * RENEW_MS
 
-# An entry gives its shards to one with this many times its processor time,
-# but not more often than this: a handover stops planning for up to a second.
-_MUCH_STRONGER: Final = 1.5
-_YIELD_EACH_MS: Final = 30_000.0
+# An entry releases its shards to one with this many times its processor time.
+# Releases are limited, as a handover stops planning for up to a second.
+_RELEASE_CORES_RATIO: Final = 1.5
+_RELEASE_INTERVAL_MS: Final = 30_000.0
 
 
 class EntryMembership:
-    """Renews this entry's row and watches the others'."""
+    """Renews this entry's row, and takes the shards of dead entries.
+
+    Attributes:
+        owned: Returns the shards that this entry owns.
+        is_dead: Whether a former owner's process has surely ended.
+        on_acquired: Called with each shard that was taken.
+        on_entries: Called after the rows of the entries were read.
+        on_release_requested: Called to release all shards to a stronger
+            entry.
+    """
 
     def __init__(
         self,
@@ -70,7 +78,7 @@
         address: str,
         cores: float = 0,
     ) -> None:
-        """Set the callbacks before ``tick`` is first called."""
+        """Create a member; set the callbacks before the first ``tick``."""
         self._cores = cores
         self._reactor = reactor
         self._clock = clock
@@ -81,80 +89,81 @@
         self._renewed_at: float | None = None
         self._peers = PeerEntries(clock, entry_id)
         self.is_dead: Callable[[FormerOwnerProcess], bool] = self._peers.is_dead
-        # The version of this entry's row, 0 while there is none.
+        # The version of this entry's row, 0 for none.
         self._version = 0
         self._is_renewing = False
         self._is_stale = False
-        self._taking: set[int] = set()
+        self._pending_takeovers: set[int] = set()
         self._free_since: dict[int, float] = {}
-        # When an owner row was first read of whose entry nothing is known.
-        self._missing_since: dict[int, float] = {}
-        # When an owner row was first read whose owner is over: an agent that
-        # ends after that had no later orders of it.
+        # By owner row version: when it was first read while nothing is known
+        # of its entry.
+        self._unknown_owner_since: dict[int, float] = {}
+        # By owner row version: when its owner was first known to have ended.
+        # An agent that leaves after that received no later orders of it.
         self._over_since: dict[int, float] = {}
         self._is_stopping = False
         self.owned: Callable[[], tuple[int, ...]] = tuple
-        self.on_acquired: Callable[[AcquiredShard], None] = _ignore
-        self.on_entries: Callable[[], None] = _nothing
-        self.on_yield: Callable[[], None] = _nothing
-        self._yields_at = clock.now()
+        self.on_acquired: Callable[[AcquiredShard], None] = _ignore_shard
+        self.on_entries: Callable[[], None] = _do_nothing
+        self.on_release_requested: Callable[[], None] = _do_nothing
+        self._next_release_at = clock.now()
 
     @property
     def incarnation(self) -> str:
-        """The name of this process among all that this entry ever was."""
+        """The id of this process among all processes of this entry."""
         return self._incarnation
 
     @property
     def may_act(self) -> bool:
-        """Whether the last renewal is young enough to act as an owner."""
+        """Whether the last renewal is recent enough to act as an owner."""
         if self._renewed_at is None:
             return False
         return self._clock.now() - self._renewed_at < OWNER_LEASE_MS
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the store has answered this entry of late."""
+        """Whether the store has responded to this entry recently."""
         if self._renewed_at is None:
             return False
         return self._clock.now() - self._renewed_at < 2 * RENEW_MS
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Addresses of all entries that live, by id; not this one's."""
+        """The addresses of the other live entries by id."""
         return self._peers.addresses
 
     def owner_of(self, shard: int) -> str:
-        """Return the id of the entry that said last that it owns a shard."""
+        """Return the id of the entry that claimed a shard last, or ''."""
         return self._peers.owner_of(shard)
 
     def tick(self) -> None:
-        """Renew and look at the others; call each ``RENEW_MS``."""
+        """Renew the row and read the others'; call each ``RENEW_MS``."""
         self.renew()
-        reading = self._store.read(ENTRIES_TABLE, '')
-        reading.addCallbacks(self._entries_read, self._failed)
-        reading.addErrback(self._failed)
+        deferred = self._store.read(ENTRIES_TABLE, '')
+        deferred.addCallbacks(self._on_entry_rows, self._ignore_store_failure)
+        deferred.addErrback(self._ignore_store_failure)
 
     def stop(self) -> None:
-        """Take no shard any more."""
+        """Stop taking shards."""
         self._is_stopping = True
 
     def release(self, shard: int, version: int, reign: int) -> Any:
-        """Give a shard up, so that another entry need not wait."""
-        place = owner_key(shard)
+        """Release a shard, so that another entry can take it at once."""
+        row_key = owner_key(shard)
         released = OwnerRow('', '', reign)
-        releasing = self._store.commit(
+        deferred = self._store.commit(
             Transaction(
-                (RowCheck(place, version),),
-                (RowPut(place, released.to_text()),),
+                (RowCheck(row_key, version),),
+                (RowPut(row_key, released.to_text()),),
             ),
         )
-        releasing.addErrback(self._failed)
-        return releasing
+        deferred.addErrback(self._ignore_store_failure)
+        return deferred
 
     def renew(self) -> None:
-        """Show that this entry lives, and which shards it owns."""
+        """Write this entry's row with the shards that it owns."""
         if self._is_renewing:
-            # What is under way may say that this entry owns what it does not.
+            # The write in flight may list other shards; write again after it.
             self._is_stale = True
             return
         self._is_renewing = True
@@ -164,28 +173,30 @@
             self._address,
             self._incarnation,
             self.owned(),
-            # Those that stop take no shard, and must not come first for one.
+            # A stopping entry takes no shard and must not rank first.
             0 if self._is_stopping else self._cores,
         )
-        # A renewal that is carried out late must not follow one of the next
-        # process of this entry: that one would be taken for replaced.
-        place = RowKey(ENTRIES_TABLE, '', self._entry_id)
-        renewing = self._store.commit(
+        # The check keeps a delayed renewal from overwriting the row of this
+        # entry's next process, which would then be considered replaced.
+        row_key = RowKey(ENTRIES_TABLE, '', self._entry_id)
+        deferred = self._store.commit(
             Transaction(
-                (RowCheck(place, self._version),),
-                (RowPut(place, row.to_text()),),
+                (RowCheck(row_key, self._version),),
+                (RowPut(row_key, row.to_text()),),
             ),
         )
-        renewing.addCallbacks(
-            self._renewed,
-            self._renewal_failed,
+        deferred.addCallbacks(
+            self._on_renewed,
+            self._on_renewal_failed,
             callbackArgs=(sent_at,),
         )
 
-    def _renewed(self, outcome: Committed | Conflict, sent_at: float) -> None:
+    def _on_renewed(
+        self, outcome: Committed | Conflict, sent_at: float
+    ) -> None:
         self._is_renewing = False
         if isinstance(outcome, Conflict):
-            # A call without an answer, or a former process, has written.
+            # A call without a response, or a former process, wrote the row.
             self._version = max(
                 (row.version for row in outcome.rows), default=0
             )
@@ -195,57 +206,58 @@
         is_first = self._renewed_at is None
         self._renewed_at = sent_at
         if is_first:
-            # Shards are contended for only now. Left to the next turn, all
-            # work would wait a second longer after a restart of all entries.
+            # Shards are taken only after the first renewal. Waiting for the
+            # next tick would delay all work by a second after a restart of
+            # all entries.
             self.tick()
         if self._is_stale:
             self.renew()
 
-    def _renewal_failed(self, failure: TwistedFailure) -> None:
+    def _on_renewal_failed(self, failure: TwistedFailure) -> None:
         self._is_renewing = False
-        self._failed(failure)
+        self._ignore_store_failure(failure)
 
-    def _failed(self, failure: TwistedFailure) -> None:
-        """The store's client logs when the store is lost and regained."""
+    def _ignore_store_failure(self, failure: TwistedFailure) -> None:
+        """Ignore a failed call; the store's client logs outages."""
         failure.trap(StoreRefused, StoreUncertain, MalformedRowError)
 
-    def _entries_read(self, page: Page) -> None:
+    def _on_entry_rows(self, page: Page) -> None:
         now = self._clock.now()
         for row in self._peers.read(page.rows):
-            self._forget(row)
+            self._remove_stale_row(row)
         self.on_entries()
         if not self._is_stopping:
-            self._yield_to_stronger(now)
-            self._contend(now)
+            self._release_to_stronger(now)
+            self._take_free_shards(now)
 
-    def _forget(self, row: Row) -> None:
-        """Remove the row of an entry that is long gone."""
-        removing = self._store.commit(
+    def _remove_stale_row(self, row: Row) -> None:
+        """Remove the row of an entry that has been dead for long."""
+        deferred = self._store.commit(
             Transaction(
                 (RowCheck(row.row_key, row.version),), (), (row.row_key,)
             ),
         )
-        removing.addErrback(self._failed)
+        deferred.addErrback(self._ignore_store_failure)
 
-    def _contend(self, now: float) -> None:
-        """Look at shards that no live entry says to own."""
+    def _take_free_shards(self, now: float) -> None:
+        """Start takeovers of the shards that no live entry claims."""
         if self._renewed_at is None:
-            # Until this process has written its row, others can't tell it
-            # from a former one: what it took would be taken from it.
+            # Before its first renewal other entries cannot tell this process
+            # from the former one and would take its shards away again.
             return
         for shard in range(SHARD_COUNT):
             if shard in self.owned() or self._peers.owner_of(shard):
                 self._free_since.pop(shard, None)
-            elif shard not in self._taking:
+            elif shard not in self._pending_takeovers:
                 self._free_since.setdefault(shard, now)
-                self._taking.add(shard)
-                self._take(shard)
+                self._pending_takeovers.add(shard)
+                self._start_takeover(shard)
 
     def _rank(self, shard: int) -> int:
-        """How many live entries come before this one for a shard.
+        """Return how many live entries precede this one for a shard.
 
-        Those with more processor time come first: a planner that has too
-        little for all agents is silent to them while it looks alive.
+        Entries with more processor time come first: an overloaded planner
+        stops sending grants to agents while its own row is still renewed.
         """
         cores_by_entry = self._peers.live_cores()
         cores_by_entry[self._entry_id] = self._cores
@@ -253,27 +265,27 @@
             cores_by_entry,
             key=lambda entry_id: (-cores_by_entry[entry_id], entry_id),
         )
-        place = ranked.index(self._entry_id)
-        return (place - shard) % len(ranked)
+        position = ranked.index(self._entry_id)
+        return (position - shard) % len(ranked)
 
-    def _yield_to_stronger(self, now: float) -> None:
-        """Give shards up for an entry that has far more processor time."""
+    def _release_to_stronger(self, now: float) -> None:
+        """Release all shards if an entry has far more processor time."""
         strongest = max(self._peers.live_cores().values(), default=0)
-        is_weak = strongest > _MUCH_STRONGER * self._cores
-        if is_weak and self.owned() and now > self._yields_at:
-            self._yields_at = now + _YIELD_EACH_MS
-            self.on_yield()
+        is_weak = strongest > _RELEASE_CORES_RATIO * self._cores
+        if is_weak and self.owned() and now > self._next_release_at:
+            self._next_release_at = now + _RELEASE_INTERVAL_MS
+            self.on_release_requested()
 
-    def _take(self, shard: int) -> None:
-        reading = self._store.read_one(owner_key(shard))
-        reading.addCallback(self._owner_read, shard)
-        reading.addErrback(self._failed)
-        reading.addBoth(lambda _done: self._taking.discard(shard))
+    def _start_takeover(self, shard: int) -> None:
+        deferred = self._store.read_one(owner_key(shard))
+        deferred.addCallback(self._on_owner_row, shard)
+        deferred.addErrback(self._ignore_store_failure)
+        deferred.addBoth(lambda _done: self._pending_takeovers.discard(shard))
 
     def _is_owner_live(self, former: OwnerRow, version: int) -> bool:
-        """Whether the entry in an owner row may still be at work.
+        """Whether the process in an owner row may still act as the owner.
 
-        A process of this entry's name that came before this one is dead.
+        Former processes of this entry are dead.
         """
         entry_id = former.entry_id
         if not entry_id or entry_id == self._entry_id:
@@ -282,61 +294,62 @@
         if is_live is not None:
             return is_live
         now = self._clock.now()
-        since = self._missing_since.setdefault(version, now)
+        since = self._unknown_owner_since.setdefault(version, now)
         return now - since < ENTRY_SILENT_MS
 
-    def _is_next(self, shard: int, former: OwnerRow | None) -> bool:
-        """Whether it is this entry's turn to take a free shard.
+    def _is_first_in_line(self, shard: int, former: OwnerRow | None) -> bool:
+        """Whether this entry may take a free shard now.
 
-        A restarted owner knows best that the former one is dead.
+        A restarted owner need not wait for other entries: its own former
+        process is certainly dead.
         """
         if former is not None and former.entry_id == self._entry_id:
             if former.incarnation != self._incarnation:
                 return True
         free_ms = self._clock.now() - self._free_since[shard]
-        return free_ms >= self._rank(shard) * _PRECEDENCE_MS
+        return free_ms >= self._rank(shard) * _RANK_DELAY_MS
 
-    def _owner_read(self, row: Row | None, shard: int) -> Any:
+    def _on_owner_row(self, row: Row | None, shard: int) -> Any:
         former = OwnerRow.from_row(row) if row else None
         version = row.version if row else 0
         if former is not None and self._is_owner_live(former, version):
             return None
-        reading = self._store.read(
+        deferred = self._store.read(
             OWNERS_TABLE, part_of(shard), roster_key(shard).key
         )
-        return reading.addCallback(self._rows_read, shard, row)
+        return deferred.addCallback(self._on_shard_rows, shard, row)
 
-    def _rows_read(self, page: Page, shard: int, row: Row | None) -> Any:
+    def _on_shard_rows(self, page: Page, shard: int, row: Row | None) -> Any:
         takeover = Takeover.from_page(shard, row, page)
-        silent = takeover.silent(self.is_dead)
-        if silent is None:
+        unconfirmed_owner = takeover.unconfirmed_owner(self.is_dead)
+        if unconfirmed_owner is None:
             self._over_since.setdefault(takeover.version, self._clock.now())
-        if not self._is_next(shard, takeover.former):
+        if not self._is_first_in_line(shard, takeover.former):
             return None
-        in_doubt = takeover.in_doubt(self.is_dead)
-        owner = OwnerRow(self._entry_id, self._incarnation, takeover.reign)
+        unconfirmed = takeover.unconfirmed_owners(self.is_dead)
+        owner = OwnerRow(self._entry_id, self._incarnation, takeover.epoch)
         sent_at = self._clock.now()
-        taking = self._store.commit(takeover.transaction(owner, in_doubt))
-        taken = AcquiredShard(
+        deferred = self._store.commit(takeover.transaction(owner, unconfirmed))
+        acquired = AcquiredShard(
             shard,
-            takeover.reign,
+            takeover.epoch,
             version=0,
             acquired_at=sent_at,
-            in_doubt=in_doubt,
+            in_doubt=unconfirmed,
             confirmed_at=sent_at,
-            former=silent,
+            former=unconfirmed_owner,
             over_since=self._over_since.get(takeover.version),
             roster=takeover.next_roster,
         )
-        return taking.addCallback(self._taken, taken)
+        return deferred.addCallback(self._on_takeover, acquired)
 
-    def _taken(self, outcome: object, taken: AcquiredShard) -> None:
+    def _on_takeover(self, outcome: object, acquired: AcquiredShard) -> None:
         if not isinstance(outcome, Committed) or self._is_stopping:
             return
-        self._free_since.pop(taken.shard, None)
+        self._free_since.pop(acquired.shard, None)
         self.on_acquired(
             replace(
-                taken,
+                acquired,
                 version=outcome.version,
                 acquired_at=self._clock.now(),
             ),
@@ -344,9 +357,9 @@
         self.renew()
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """No owner is set yet."""
 
 
-def _ignore(_taken: AcquiredShard) -> None:
+def _ignore_shard(_acquired: AcquiredShard) -> None:
     """No owner is set yet."""
--- a/hyssopring/jobs/epoch_rows.py
+++ b/hyssopring/jobs/epoch_rows.py
@@ -1,4 +1,4 @@
-"""The rows by which an owner tells its successors of its reign."""
+"""Rows of a shard that describe its epochs to the next owners."""
 
 from dataclasses import replace
 from typing import Any
@@ -6,7 +6,7 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from hyssopring.jobs.documents import RosterRow
-from hyssopring.jobs.row_keys import roster_key, former_owners_key
+from hyssopring.jobs.row_keys import former_owners_key, roster_key
 from hyssopring.jobs.rows import (
     Committed,
     Conflict,
@@ -22,15 +22,18 @@
 
 
 class EpochRows:
-    """Written with the owner's row at a takeover, and changed later.
+    """The roster row and the row of former owners that may still act.
+
+    Both are written with the owner row at a takeover, and changed later.
 
     Attributes:
-        row: Which reigns have kept to the agents' rows.
-        is_complete: Whether these name all agents that may run a lasting task.
-        is_void: The stored row says that they do, and they do not: no agent's
-            row may be written before that is taken back.
-        owes_wait: A former owner may still act, and the store says so to next
-            owners until ``waited``.
+        row: The epochs whose owners have kept the agents' rows.
+        is_complete: Whether the agents' rows name all agents that may run a
+            keeper's task.
+        must_retract: Whether the stored row claims completeness wrongly. No
+            agent's row may be written before that is corrected.
+        has_wait_row: Whether the row of former owners is stored, so that the
+            next owner waits for them.
     """
 
     def __init__(
@@ -39,74 +42,79 @@
         shard: int,
         owner_check: RowCheck,
         row: RosterRow,
-        owes_wait: bool = False,
+        has_wait_row: bool = False,
     ) -> None:
-        """Write under ``owner_check``."""
+        """Create the rows; writes are restricted by ``owner_check``."""
         self.row = row
         self.is_complete = row.is_complete
-        self.is_void = False
-        self.owes_wait = owes_wait
+        self.must_retract = False
+        self.has_wait_row = has_wait_row
         self._store = store
         self._shard = shard
         self._check = owner_check
         self._is_clearing = False
-        self._is_saying = False
+        self._is_writing = False
 
-    def complete(self) -> None:
-        """The rows name all agents that may run a lasting task."""
+    def mark_complete(self) -> None:
+        """Record that the agents' rows are complete."""
         if not self.is_complete:
-            self._say(is_complete=True)
+            self._write_completeness(is_complete=True)
+
+    def invalidate(self) -> None:
+        """Record that the agents' rows are incomplete.
 
-    def void(self) -> None:
-        """A row cannot be read: it may have named any task."""
-        self.is_void = self.is_void or self.is_complete
+        A malformed agent's row may have listed any task.
+        """
+        self.must_retract = self.must_retract or self.is_complete
         self.is_complete = False
-        if self.is_void:
-            self._say(is_complete=False)
+        if self.must_retract:
+            self._write_completeness(is_complete=False)
 
-    def _say(self, is_complete: bool) -> None:
-        if self._is_saying:
+    def _write_completeness(self, is_complete: bool) -> None:
+        if self._is_writing:
             return
-        self._is_saying = True
+        self._is_writing = True
         row = replace(self.row, is_complete=is_complete)
         put = RowPut(roster_key(self._shard), row.to_text())
-        saying = self._store.commit(Transaction((self._check,), (put,)))
-        saying.addCallbacks(
-            self._said,
-            _retried,
+        deferred = self._store.commit(Transaction((self._check,), (put,)))
+        deferred.addCallbacks(
+            self._on_written,
+            _ignore_store_failure,
             callbackArgs=(is_complete,),
         )
-        saying.addBoth(self._saying_settled)
+        deferred.addBoth(self._finish_writing)
 
-    def waited(self) -> None:
-        """No former owner acts any more: next owners need not wait for it."""
-        if not self.owes_wait or self._is_clearing:
+    def clear_wait(self) -> None:
+        """Remove the row of former owners, as none of them acts any more."""
+        if not self.has_wait_row or self._is_clearing:
             return
         self._is_clearing = True
-        place = former_owners_key(self._shard)
-        clearing = self._store.commit(Transaction((self._check,), (), (place,)))
-        clearing.addCallbacks(self._cleared, _retried)
-        clearing.addBoth(self._clearing_settled)
+        row_key = former_owners_key(self._shard)
+        deferred = self._store.commit(
+            Transaction((self._check,), (), (row_key,))
+        )
+        deferred.addCallbacks(self._on_cleared, _ignore_store_failure)
+        deferred.addBoth(self._finish_clearing)
 
-    def _said(
+    def _on_written(
         self,
         outcome: Committed | Conflict,
         is_complete: bool,
     ) -> None:
         if isinstance(outcome, Committed):
             self.is_complete = is_complete
-            self.is_void = False
+            self.must_retract = False
 
-    def _saying_settled(self, _done: Any) -> None:
-        self._is_saying = False
+    def _finish_writing(self, _done: Any) -> None:
+        self._is_writing = False
 
-    def _cleared(self, outcome: Committed | Conflict) -> None:
-        self.owes_wait = not isinstance(outcome, Committed)
+    def _on_cleared(self, outcome: Committed | Conflict) -> None:
+        self.has_wait_row = not isinstance(outcome, Committed)
 
-    def _clearing_settled(self, _done: Any) -> None:
+    def _finish_clearing(self, _done: Any) -> None:
         self._is_clearing = False
 
 
-def _retried(failure: TwistedFailure) -> None:
-    """The next turn tries again."""
+def _ignore_store_failure(failure: TwistedFailure) -> None:
+    """Ignore a failed write; the next call retries."""
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -1,4 +1,4 @@
-"""What a new owner of a shard knows of the owners before it."""
+"""Bounds on how long former owners and their grants may act."""
 
 from dataclasses import dataclass
 from typing import Callable
@@ -13,16 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquiredShard:
-    """A shard that was taken.
+    """A shard that this entry has taken.
 
     Attributes:
-        version: The owner row's.
-        in_doubt: Former owners that may still order: they have not given the
-            shard up, and are not known to be dead.
+        shard: The number of the shard.
+        reign: The epoch of the new owner.
+        version: The version of the owner row.
+        acquired_at: When the takeover succeeded.
+        in_doubt: Former owners that may still send orders: they have not
+            released the shard and are not known to be dead.
         confirmed_at: When the call was sent that took the shard.
-        former: The owner before this one if it is among those in doubt.
-        over_since: Since when this entry knows that the former owner is over.
-        roster: Which reigns have kept to the agents' rows.
+        former: The owner before this one if it is among ``in_doubt``.
+        over_since: Since when the former owner is known to have ended.
+        roster: The epochs whose owners have kept the agents' rows.
     """
 
     shard: int
@@ -37,101 +40,108 @@
 
     @property
     def is_former_over(self) -> bool:
-        """Whether no former owner orders anything any more."""
+        """Whether no former owner sends orders any more."""
         return not self.in_doubt
 
 
 class FormerOwner:
-    """For how long what former owners have ordered and granted may act."""
+    """Tracks until when former owners and their grants may act."""
 
-    def __init__(self, clock: Clock, taken: AcquiredShard) -> None:
-        """Begin with what was known when the shard was taken."""
+    def __init__(self, clock: Clock, acquired: AcquiredShard) -> None:
+        """Start from the state at the takeover."""
         self._clock = clock
-        self._in_doubt = taken.in_doubt
-        self._former = taken.former
-        self._has_earlier = any(each != taken.former for each in taken.in_doubt)
+        self._unconfirmed = acquired.in_doubt
+        self._former = acquired.former
+        self._has_earlier = any(
+            process != acquired.former for process in acquired.in_doubt
+        )
         wait_ms = GRANT_EXPIRY_MS if self.is_over else ROSTER_WAIT_MS
-        self._wait_until = taken.acquired_at + wait_ms
-        self._acts_until = taken.acquired_at
+        self._wait_until = acquired.acquired_at + wait_ms
+        self._acts_until = acquired.acquired_at
         if not self.is_over:
             self._acts_until = self._wait_until
-        self._lost_at_by_agent: dict[str, float] = {}
-        # The last word of an agent that ended after this time holds.
-        self._given_up_at = taken.over_since if self.is_over else None
+        self._grant_expiry_by_agent: dict[str, float] = {}
+        # Agents that left after this time have no later orders.
+        self._released_at = acquired.over_since if self.is_over else None
 
     @property
     def is_over(self) -> bool:
-        """Whether no former owner orders anything any more."""
-        return not self._in_doubt
+        """Whether no former owner sends orders any more."""
+        return not self._unconfirmed
 
     @property
     def wait_ms(self) -> float:
-        """For how long an agent of which nothing is known may run tasks."""
+        """For how long, in ms, an agent without a known grant may run tasks."""
         return max(0, self._wait_until - self._clock.now())
 
     @property
     def may_act(self) -> bool:
-        """Whether a former owner, or what it granted of late, may still act.
+        """Whether a former owner or one of its unknown grants may still act.
 
-        One that gave the shard up has told of its grants. One that was found
-        dead has not: an agent's next process may have reached it alone, and
-        holds tasks until that grant is over.
+        An owner that released the shard has reported its grants. One that is
+        dead has not: an agent's next process may have reached that owner only
+        and runs tasks until the grant expires.
         """
         return self._clock.now() < self._acts_until
 
-    def gave_up(self, told: ShardReleased, received_at: float) -> None:
-        """The former owner orders nothing more: its grants run out by age.
+    def record_release(
+        self, message: ShardReleased, received_at: float
+    ) -> None:
+        """Record that the former owner has released the shard.
 
-        Of agents that it had not heard it knew for how long to wait. One
-        before it may still act for as long.
+        The message carries the age of its last grants, and its own remaining
+        wait for agents that had not reported to it. Owners before it may still
+        act.
         """
-        wait_until = received_at + told.wait_ms
+        wait_until = received_at + message.wait_ms
         self._wait_until = min(self._wait_until, wait_until)
-        self._leave_in_doubt(lambda each: each != self._former, received_at)
+        self._retain_unconfirmed(
+            lambda process: process != self._former, received_at
+        )
         if self.is_over:
             self._acts_until = received_at
-        for grant in told.grants:
-            lost_at = received_at - grant.age_ms + GRANT_EXPIRY_MS
-            self._lost_at_by_agent[grant.agent_id] = lost_at
+        for grant in message.grants:
+            expires_at = received_at - grant.age_ms + GRANT_EXPIRY_MS
+            self._grant_expiry_by_agent[grant.agent_id] = expires_at
 
     def check(self, is_dead: Callable[[FormerOwnerProcess], bool]) -> None:
-        """Find out which former owners are dead; call regularly.
+        """Check which former owners are dead; call regularly.
 
-        Two owners in a row that are killed tell nobody. Unless the next one
-        learns of their deaths itself, keepers wait for VMs that left for good
-        until a living owner's authority and its grants would have run out.
+        Killed owners send no release message. Without this check, keepers of
+        lost VMs would wait until the lease and the grants of a live owner had
+        expired.
         """
         if self.is_over:
             return
         now = self._clock.now()
-        self._leave_in_doubt(lambda each: not is_dead(each), now)
+        self._retain_unconfirmed(lambda process: not is_dead(process), now)
         if self.is_over:
-            # Their last grants came before their deaths were seen.
+            # The last grants were sent before the owners were found dead.
             self._wait_until = min(self._wait_until, now + GRANT_EXPIRY_MS)
             self._acts_until = self._wait_until
 
-    def _leave_in_doubt(
+    def _retain_unconfirmed(
         self,
         may_act: Callable[[FormerOwnerProcess], bool],
         at: float,
     ) -> None:
-        """Keep those in doubt that may act; the others were over by then."""
-        self._in_doubt = tuple(filter(may_act, self._in_doubt))
-        if self.is_over and self._given_up_at is None:
-            self._given_up_at = at
+        """Keep the owners that may act; the others had ended by ``at``."""
+        self._unconfirmed = tuple(filter(may_act, self._unconfirmed))
+        if self.is_over and self._released_at is None:
+            self._released_at = at
 
     @property
-    def named_agents(self) -> set[str]:
-        """The agents whose last grants the former owner has told."""
-        return set(self._lost_at_by_agent)
+    def agents_with_known_grant(self) -> set[str]:
+        """The agents whose last grants the former owner has reported."""
+        return set(self._grant_expiry_by_agent)
 
-    def had_given_up(self, at: float) -> bool:
-        """Whether the former owner had said by then that it orders nothing."""
-        return self._given_up_at is not None and self._given_up_at <= at
+    def had_released(self, at: float) -> bool:
+        """Whether the former owner was known by then to send no orders."""
+        return self._released_at is not None and self._released_at <= at
 
-    def until(self, agent_id: str) -> float:
-        """When all that an agent was granted before this owner is over."""
-        until = self._lost_at_by_agent.get(agent_id, self._wait_until)
+    def grant_expires_at(self, agent_id: str) -> float:
+        """Return when an agent's grants from former owners expire."""
+        expires_at = self._grant_expiry_by_agent.get(agent_id, self._wait_until)
         if self._has_earlier:
-            until = max(until, self._wait_until)
-        return until
+            expires_at = max(expires_at, self._wait_until)
+        return expires_at
--- a/hyssopring/jobs/handover.py
+++ b/hyssopring/jobs/handover.py
@@ -1,64 +1,71 @@
-"""What a former owner tells the next one of a shard."""
+"""The message by which a former owner reports its last grants."""
 
 from hyssopring.jobs.fleet import Fleet
 from hyssopring.jobs.messages import AgentGrant, ShardReleased
 from hyssopring.jobs.owned_shard import OwnedShard
 from hyssopring.jobs.times import GRANT_EXPIRY_MS
 
-__all__ = ('ReleasedShards', 'given_up')
+__all__ = ('ReleasedShards', 'release_message')
 
 
-def given_up(owned: OwnedShard, fleet: Fleet, now: float) -> ShardReleased:
-    """Describe a shard that this entry has just dropped.
+def release_message(
+    owned: OwnedShard, fleet: Fleet, now: float
+) -> ShardReleased:
+    """Return the message about a shard that this entry has just dropped.
 
-    Agents that had confirmed this reign are named with its own last grant. Of
-    the others a former owner may have granted later than is known here: each
-    that may run tasks still is named with the later of both.
+    It names the agents that reported under this epoch with this owner's last
+    grant. To the other agents a former owner may have sent a later grant: each
+    of them that may still run tasks is named with the later expiry of both.
     """
-    lost_at_by_agent = {
+    expiry_by_agent = {
         agent_id: fleet.grant_expires_at(agent_id)
         for agent_id in fleet.by_agent
         if agent_id in owned.reported
     }
-    known = owned.unreported | owned.former.named_agents | fleet.by_agent.keys()
+    known = (
+        owned.unreported
+        | owned.former.agents_with_known_grant
+        | fleet.by_agent.keys()
+    )
     for agent_id in known - owned.reported:
-        lost_at = max(
-            owned.former.until(agent_id), fleet.grant_expires_at(agent_id)
+        expires_at = max(
+            owned.former.grant_expires_at(agent_id),
+            fleet.grant_expires_at(agent_id),
         )
-        if lost_at > now:
-            lost_at_by_agent[agent_id] = lost_at
+        if expires_at > now:
+            expiry_by_agent[agent_id] = expires_at
     grants = [
-        AgentGrant(agent_id, int(now + GRANT_EXPIRY_MS - lost_at))
-        for agent_id, lost_at in lost_at_by_agent.items()
+        AgentGrant(agent_id, int(now + GRANT_EXPIRY_MS - expires_at))
+        for agent_id, expires_at in expiry_by_agent.items()
     ]
     wait_ms = int(owned.former.wait_ms)
     return ShardReleased(owned.shard, owned.epoch, grants, wait_ms)
 
 
 class ReleasedShards:
-    """The newest such message for each shard, until its next owner is here.
+    """Keeps the last such message of each shard.
 
-    It may come before this entry has taken the shard, or after it.
+    It may arrive before or after this entry has taken the shard.
     """
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create a collection without messages."""
         self._by_shard: dict[int, tuple[ShardReleased, float]] = {}
 
     def handle_message(self, message: ShardReleased, now: float) -> None:
-        """Keep a message of a former owner, received now."""
+        """Store a message of a former owner, received now."""
         self._by_shard[message.shard] = (message, now)
 
-    def announce(self, owned: OwnedShard, fleet: Fleet) -> None:
-        """Use what the former owner of an owned shard has said.
+    def apply_to(self, owned: OwnedShard, fleet: Fleet) -> None:
+        """Apply the former owner's message, if any, to an owned shard.
 
-        It may have granted an agent later than this entry: one that has been
-        restarted, and reached the former owner only.
+        The former owner's grant to an agent may be later than this entry's,
+        if the agent was restarted and reached the former owner only.
         """
         message, received_at = self._by_shard.get(owned.shard, (None, 0))
         if message is None or message.reign != owned.epoch - 1:
             return
-        owned.former.gave_up(message, received_at)
+        owned.former.record_release(message, received_at)
         for grant in message.grants:
             worker = fleet.by_agent.get(grant.agent_id)
             if worker is not None:
--- a/hyssopring/jobs/job_api.py
+++ b/hyssopring/jobs/job_api.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs, answered from the store and the owners."""
+"""Submission, cancellation and state of jobs, for callers of this entry."""
 
 from dataclasses import dataclass
 from typing import Any, Callable, Final
@@ -9,18 +9,18 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.jobs.deadlines import answer_by
-from hyssopring.jobs.documents import JobRow, ProgressRow, MalformedRowError
+from hyssopring.jobs.documents import JobRow, MalformedRowError, ProgressRow
 from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.messages import (
     CancelNotice,
     JobNotice,
-    JobStateRequest,
     JobsMessage,
+    JobStateRequest,
     PendingJobsRequest,
 )
 from hyssopring.jobs.model import Job, JobState
 from hyssopring.jobs.owned_shards import OwnedShards
-from hyssopring.jobs.peer_requests import PeerTransport, PeerRequests
+from hyssopring.jobs.peer_requests import PeerRequests, PeerTransport
 from hyssopring.jobs.row_keys import cancel_key, job_key, progress_key
 from hyssopring.jobs.rows import (
     Committed,
@@ -37,20 +37,20 @@
 
 __all__ = ('JobApi',)
 
-_PENDING_AGE_MS: Final = 1000.0
+_PENDING_MAX_AGE_MS: Final = 1000.0
 _RETRY_MS: Final = 100.0
 
 
 @dataclass(slots=True)
-class _Pending:
-    """How many jobs of a queue wait, and when that was known."""
+class _PendingCount:
+    """The number of waiting jobs of a queue, and when they were counted."""
 
     waiting: int
-    at: float
+    counted_at: float
 
 
 class JobApi:
-    """Accepts jobs and cancellations, and says how jobs stand."""
+    """Accepts jobs and cancellations, and returns the state of jobs."""
 
     def __init__(
         self,
@@ -61,9 +61,9 @@
         membership: EntryMembership,
         shards: OwnedShards,
         peers: PeerTransport,
-        questions: PeerRequests,
+        requests: PeerRequests,
     ) -> None:
-        """Store jobs in ``store`` and tell their owners by ``peers``."""
+        """Create the API; it notifies owners of jobs by ``peers``."""
         self._reactor = reactor
         self._clock = clock
         self._wall_ms = wall_ms
@@ -71,40 +71,41 @@
         self._membership = membership
         self._shards = shards
         self._peers = peers
-        self._questions = questions
-        self._pending_by_queue: dict[str, _Pending] = {}
+        self._requests = requests
+        self._pending_by_queue: dict[str, _PendingCount] = {}
 
-    def submit(self, job: Job, until: float) -> Any:
+    def submit(self, job: Job, until_ms: float) -> Any:
         """Store a job.
 
         Args:
-            job: What was handed in.
-            until: When the caller is answered at the latest, by the clock.
-                The store may hold a call for seconds; another entry may be
-                served at once, where the caller can hand the job in again.
+            job: The job.
+            until_ms: The deadline of the response, by the clock. The store
+                may hold a call for seconds, while another entry to which the
+                caller can submit the job again may be served at once.
 
         Returns:
-            A deferred ``Result``: Ok once the job is stored, however often
-            it was handed in; else a failure that says whether it may be.
+            A deferred ``Result``: Ok once the job is stored, also if it was
+            submitted before; else a failure whose kind says whether it may
+            still be stored.
         """
-        seconds = (until - self._clock.now()) / MILLIS_PER_SECOND
+        seconds = (until_ms - self._clock.now()) / MILLIS_PER_SECOND
         late = Failure(ErrorKind.OUTCOME_UNKNOWN, 'the store is too slow')
-        working = self._submit(job, until)
-        return answer_by(self._reactor, working, seconds, Err(late))
+        submitting = self._submit(job, until_ms)
+        return answer_by(self._reactor, submitting, seconds, Err(late))
 
     @inlineCallbacks
-    def _submit(self, job: Job, until: float) -> Any:
+    def _submit(self, job: Job, until_ms: float) -> Any:
         row = JobRow(job, self._wall_ms())
-        place = job_key(job.job_id)
+        row_key = job_key(job.job_id)
         transaction = Transaction(
-            (RowCheck(place, 0),),
-            (RowPut(place, row.to_text()),),
+            (RowCheck(row_key, 0),),
+            (RowPut(row_key, row.to_text()),),
         )
-        outcome = yield self._commit(transaction, until)
+        outcome = yield self._commit(transaction, until_ms)
         if outcome.is_err():
             return outcome
         if isinstance(outcome.unwrap(), Committed):
-            self._deliver(row)
+            self._notify_owner(row)
             log_event(
                 Event.JOB_ACCEPTED,
                 job=job.job_id,
@@ -114,108 +115,112 @@
         return Ok(None)
 
     @inlineCallbacks
-    def cancel(self, job_id: str, until: float) -> Any:
-        """Cancel a job; a deferred ``Result`` with whether it exists."""
-        place = job_key(job_id)
+    def cancel(self, job_id: str, until_ms: float) -> Any:
+        """Cancel a job; return a deferred ``Result`` with whether it exists."""
+        row_key = job_key(job_id)
         try:
-            row = yield self._store.read_one(place)
+            row = yield self._store.read_one(row_key)
         except (StoreRefused, StoreUncertain) as error:
             return Err(_unavailable(error))
         if row is None:
-            return Ok(False)  # noqa: FBT003, WPS425 -- is not known
+            return Ok(False)  # noqa: FBT003, WPS425 -- no such job
         outcome = yield self._commit(
             Transaction(
-                (RowCheck(place, row.version),),
+                (RowCheck(row_key, row.version),),
                 (RowPut(cancel_key(job_id), 'x'),),
             ),
-            until,
+            until_ms,
         )
         if outcome.is_err():
             return outcome
         log_event(Event.TASK_CANCELLED, job=job_id)
         self._shards.cancel(job_id)
-        self._tell_owner(shard_of(job_id), CancelNotice(job_id))
-        return Ok(True)  # noqa: FBT003, WPS425 -- is known
+        self._send_to_owner(shard_of(job_id), CancelNotice(job_id))
+        return Ok(True)  # noqa: FBT003, WPS425 -- the job exists
 
     @inlineCallbacks
     def state(self, job_id: str) -> Any:
-        """Return a deferred ``Result`` with the state, None if unknown."""
+        """Return a deferred ``Result`` with a job's state, None if unknown."""
         state = self._shards.state_of(job_id)
         if state is None:
-            state = yield self._ask_state(job_id)
+            state = yield self._request_state(job_id)
         if state is not None:
             return Ok(state)
         stored = yield self._stored(job_id)
-        return stored  # noqa: WPS331 -- a yield is no return value
+        return stored  # noqa: WPS331 -- the result of a yield
 
     @inlineCallbacks
     def pending(self, queue: str) -> Any:
-        """Count a queue's jobs without a start; may be a second old.
+        """Count the jobs of a queue without a start; may be a second old.
 
         Returns:
-            A deferred ``Result``: a failure while a shard has no owner that
-            knows its jobs. Counted as none, they would seem to be gone.
+            A deferred ``Result`` with the count. A failure while a shard has
+            no owner that has loaded its jobs, as a count without them would
+            be too low.
         """
-        known = self._pending_by_queue.get(queue)
+        cached = self._pending_by_queue.get(queue)
         now = self._clock.now()
-        if known is not None and now - known.at < _PENDING_AGE_MS:
-            return Ok(known.waiting)
-        waiting = self._shards.waiting(queue)
-        missing = set(range(SHARD_COUNT)) - set(self._shards.counted())
+        if cached is not None and now - cached.counted_at < _PENDING_MAX_AGE_MS:
+            return Ok(cached.waiting)
+        waiting = self._shards.count_queued(queue)
+        missing = set(range(SHARD_COUNT)) - set(self._shards.loaded_shards())
 
-        def question(number: int) -> JobsMessage:  # noqa: WPS430 -- for each
+        def build_request(number: int) -> JobsMessage:  # noqa: WPS430
             return PendingJobsRequest(number, queue)
 
         owners = {self._membership.owner_of(shard) for shard in missing}
         for entry_id in owners:
-            answer = yield self._questions.ask(entry_id, question)
+            answer = yield self._requests.ask(entry_id, build_request)
             if answer is not None:
                 waiting += answer.waiting
                 missing -= set(answer.shards)
         if missing:
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, 'no owner counts'))
-        self._pending_by_queue[queue] = _Pending(waiting, now)
+        self._pending_by_queue[queue] = _PendingCount(waiting, now)
         return Ok(waiting)
 
     @inlineCallbacks
-    def _commit(self, transaction: Transaction, until: float) -> Any:
-        """Commit, again while it is in doubt; a deferred ``Result``.
+    def _commit(self, transaction: Transaction, until_ms: float) -> Any:
+        """Commit a transaction; retry while its outcome is unknown.
 
-        A transaction in doubt is repeated: its own check shows whether the
-        first copy was carried out.
+        Its own row check makes a repeated commit safe and shows whether the
+        first copy was applied.
+
+        Returns:
+            A deferred ``Result`` with the outcome.
         """
-        doubt: Failure | None = None
+        unconfirmed: Failure | None = None
         while True:
             try:
                 outcome = yield self._store.commit(transaction)
             except StoreUncertain as error:
-                doubt = _unavailable(error)
+                unconfirmed = _unavailable(error)
             except StoreRefused as error:
-                if doubt is None:
+                if unconfirmed is None:
                     return Err(_unavailable(error))
             else:
                 return Ok(outcome)
-            if self._clock.now() >= until:
-                return Err(doubt)
-            yield _pause(self._reactor)
+            if self._clock.now() >= until_ms:
+                return Err(unconfirmed)
+            yield _retry_delay(self._reactor)
 
-    def _deliver(self, row: JobRow) -> None:
+    def _notify_owner(self, row: JobRow) -> None:
         shard = shard_of(row.job.job_id)
         if shard in self._shards.by_shard:
             self._shards.accept(row)
         else:
-            self._tell_owner(shard, JobNotice(row.job.job_id, row.to_text()))
+            self._send_to_owner(shard, JobNotice(row.job.job_id, row.to_text()))
 
-    def _tell_owner(self, shard: int, message: JobsMessage) -> None:
-        """Tell the owner; if this fails, it finds the row by itself."""
+    def _send_to_owner(self, shard: int, message: JobsMessage) -> None:
+        """Send a notice to the owner, which polls for rows if it is lost."""
         entry_id = self._membership.owner_of(shard)
         if entry_id:
             self._peers.to_entry(entry_id, message)
 
     @inlineCallbacks
-    def _ask_state(self, job_id: str) -> Any:
+    def _request_state(self, job_id: str) -> Any:
         entry_id = self._membership.owner_of(shard_of(job_id))
-        answer = yield self._questions.ask(
+        answer = yield self._requests.ask(
             entry_id,
             lambda number: JobStateRequest(number, job_id),
         )
@@ -226,14 +231,14 @@
     @inlineCallbacks
     def _read_all(self, *places: RowKey) -> Any:
         rows = []
-        for place in places:
-            row = yield self._store.read_one(place)
+        for row_key in places:
+            row = yield self._store.read_one(row_key)
             rows.append(row)
         return rows
 
     @inlineCallbacks
     def _stored(self, job_id: str) -> Any:
-        """Read a job's state from the store, a deferred ``Result``."""
+        """Return a deferred ``Result`` with a job's state in the store."""
         try:
             rows = yield self._read_all(
                 job_key(job_id),
@@ -246,14 +251,14 @@
         if row is None:
             return Ok(None)
         try:
-            known = ProgressRow.from_text(progress.text) if progress else None
+            cached = ProgressRow.from_text(progress.text) if progress else None
         except MalformedRowError as error:
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, str(error)))
-        if known is not None and known.state:
-            return Ok(JobState(known.state))
+        if cached is not None and cached.state:
+            return Ok(JobState(cached.state))
         if cancelled is not None:
             return Ok(JobState.CANCELLED)
-        return Ok(JobState.ACTIVE if known else JobState.QUEUED)
+        return Ok(JobState.ACTIVE if cached else JobState.QUEUED)
 
 
 def _unavailable(error: Exception) -> Failure:
@@ -262,7 +267,7 @@
     return Failure(ErrorKind.STORE_UNAVAILABLE, str(error))
 
 
-def _pause(reactor: Any) -> Deferred:
+def _retry_delay(reactor: Any) -> Deferred:
     paused: Deferred = Deferred()
     reactor.callLater(_RETRY_MS / MILLIS_PER_SECOND, paused.callback, None)
     return paused
--- a/hyssopring/jobs/job_record.py
+++ b/hyssopring/jobs/job_record.py
@@ -1,4 +1,4 @@
-"""One accepted job as its owner keeps it: what is done, runs and waits."""
+"""In-memory state of an accepted job: its done, running and waiting tasks."""
 
 from dataclasses import dataclass, field
 from typing import Final, Iterator
@@ -9,20 +9,23 @@
 
 __all__ = ('JobRecord', 'StepRun')
 
-# Attempts of a reign are numbered from a base of their own: a new owner need
-# not know the numbers that its predecessor gave.
-_ATTEMPTS_PER_REIGN: Final = 1000
+# Each epoch numbers attempts from its own base, so that a new owner need not
+# know the numbers used by its predecessor.
+_ATTEMPTS_PER_EPOCH: Final = 1000
 _DUE_MARGIN_MS: Final = 30.0
 
 
 @dataclass
 class StepRun:
-    """One step of one occurrence.
+    """One step of one occurrence of a job.
 
     Attributes:
+        occurrence: The index of the occurrence.
+        step_index: The index of the step in its job.
+        done: The indices of done tasks as a bit set.
         waiting: Indices of tasks that neither run nor are done.
         running: Indices of tasks with an attempt that may run.
-        located: Indices of tasks that were seen running under this reign.
+        observed: Indices of tasks that were seen running under this epoch.
     """
 
     occurrence: int
@@ -31,45 +34,45 @@
     done: int = 0
     waiting: set[int] = field(default_factory=set)
     running: set[int] = field(default_factory=set)
-    located: set[int] = field(default_factory=set)
+    observed: set[int] = field(default_factory=set)
 
     @property
     def name(self) -> str:
-        """The step's name within its job."""
+        """The run's name within its job, 'occurrence.step'."""
         return f'{self.occurrence}.{self.step_index}'
 
     @property
     def is_gang_ready(self) -> bool:
-        """Whether no member of a gang is done, runs or may still run."""
+        """Whether all members of a gang are waiting."""
         return len(self.waiting) == self.step.count
 
     @property
     def is_done(self) -> bool:
-        """Whether all tasks have ended as done."""
+        """Whether all tasks are done."""
         return self.done.bit_count() == self.step.count
 
     def is_done_task(self, index: int) -> bool:
-        """Whether this task has ended as done."""
+        """Whether a task is done."""
         return bool(self.done >> index & 1)
 
     def task(self, job_id: str, index: int) -> TaskName:
-        """Name one task of the step."""
+        """Return the name of a task of the step."""
         return TaskName(job_id, self.occurrence, self.step_index, index)
 
     def mark_running(self, index: int) -> None:
-        """An attempt of the task may run from now on."""
+        """Record that an attempt of a task may run from now on."""
         self.waiting.discard(index)
         self.running.add(index)
-        self.located.add(index)
+        self.observed.add(index)
 
-    def finished(self, index: int) -> None:
-        """The task is done."""
+    def mark_done(self, index: int) -> None:
+        """Record that a task is done."""
         self.waiting.discard(index)
         self.running.discard(index)
         self.done |= 1 << index
 
-    def returned(self, index: int) -> None:
-        """The task's attempt is over and it must run again."""
+    def mark_waiting(self, index: int) -> None:
+        """Record that a task has no attempt; one that is not done waits."""
         self.running.discard(index)
         if not self.is_done_task(index):
             self.waiting.add(index)
@@ -80,15 +83,23 @@
     """A job of a shard that this entry owns.
 
     Attributes:
-        accepted_ms: Since 1970, by the clock of the entry that accepted.
-        is_inherited: Accepted under an earlier reign: tasks of it may run.
-        version: The progress row's, 0 for none.
-        state: The state as it is durably known.
-        final_state: The state that is decided; it may not be durable yet.
+        accepted_ms: When it was accepted, in ms since 1970, by the clock of
+            the accepting entry.
+        epoch: The epoch of the owner that created this record.
+        is_inherited: Whether it was accepted under an earlier epoch, so that
+            tasks of it may be running.
+        progress: The content of the progress row.
+        version: The version of the progress row, 0 for none.
+        step_runs: The step runs of open occurrences by name.
+        checkpoint_by_task: The last checkpoint of tasks that are not done.
+        attempt_by_task: The highest known attempt number of each task.
+        state: The durable state.
+        final_state: The final state once it is decided; it may not be durable
+            yet.
         idle_since: Since when tasks wait and none runs.
         crashes: Crashes of workers that were starting its tasks.
-        trial_wanted_since: Since when a suspect has waited for a trial, by the
-            key of its budget.
+        trial_wanted_since: Since when a suspect has waited for a trial, by
+            the key of its budget.
     """
 
     job: Job
@@ -99,7 +110,7 @@
     version: int = 0
     step_runs: dict[str, StepRun] = field(default_factory=dict)
     checkpoint_by_task: dict[str, str] = field(default_factory=dict)
-    number_by_task: dict[str, int] = field(default_factory=dict)
+    attempt_by_task: dict[str, int] = field(default_factory=dict)
     state: JobState = JobState.QUEUED
     final_state: JobState | None = None
     idle_since: float | None = None
@@ -107,22 +118,22 @@
     trial_wanted_since: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Read the crashes in the progress row."""
+        """Load the crash history from the progress row."""
         self.crashes = CrashHistory(self.progress.failed)
 
     @classmethod
     def from_row(
         cls,
         row: JobRow,
-        reign: int,
+        epoch: int,
         is_inherited: bool,
         progress: ProgressRow | None = None,
     ) -> 'JobRecord':
-        """Take over a stored job."""
+        """Create a record of a stored job and its progress."""
         record = cls(
             row.job,
             row.accepted_ms,
-            reign,
+            epoch,
             is_inherited,
             progress or ProgressRow(),
         )
@@ -137,7 +148,7 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether a task is known to have started."""
+        """Whether any task is known to have started."""
         return bool(
             self.progress.done
             or self.progress.failed
@@ -145,7 +156,7 @@
         )
 
     def open_occurrence(self, occurrence: int) -> None:
-        """Make the steps of an occurrence known, as far as done so far."""
+        """Create the step runs of an occurrence from the stored progress."""
         for number, step in enumerate(self.job.steps):
             run = StepRun(occurrence, number, step)
             run.done = self.progress.done.get(run.name, 0)
@@ -156,61 +167,61 @@
             }
             self.step_runs[run.name] = run
 
-    def open_due(self, wall_ms: float) -> None:
-        """Open the occurrences whose time has come.
+    def open_due_occurrences(self, wall_ms: float) -> None:
+        """Open the occurrences that are due.
 
-        Times of day differ between VMs by some milliseconds; an occurrence
-        begins this much after its time, never before.
+        Wall clocks of VMs differ by some milliseconds. The margin keeps an
+        occurrence from starting before its time by any of them.
         """
-        while self._opened < self.job.occurrences:
-            due_ms = self.job.schedule.due_ms(self._opened)
+        while self._open_count < self.job.occurrences:
+            due_ms = self.job.schedule.due_ms(self._open_count)
             if wall_ms < due_ms + _DUE_MARGIN_MS:
                 return
-            self.open_occurrence(self._opened)
+            self.open_occurrence(self._open_count)
 
-    def run_of(self, name: TaskName) -> StepRun | None:
-        """Return the step run of a task, None if the job has none such.
+    def step_run_of(self, name: TaskName) -> StepRun | None:
+        """Return the step run of a task, None if the job has no such task.
 
-        An attempt shows that its occurrence has begun, also where this owner
-        has not opened it yet: a former owner started it. Taken for unknown,
-        its end would be dropped and the task would run again.
+        Opens the task's occurrence if necessary: a former owner may have
+        started a task of an occurrence that is not open here yet. Without its
+        step run, the task's end would be dropped and the task would run again.
         """
-        while self._opened <= name.occurrence < self.job.occurrences:
-            self.open_occurrence(self._opened)
+        while self._open_count <= name.occurrence < self.job.occurrences:
+            self.open_occurrence(self._open_count)
         run = self.step_runs.get(f'{name.occurrence}.{name.step}')
         if run is None or not 0 <= name.index < run.step.count:
             return None
         return run
 
-    def located_waiting(self, run: StepRun) -> set[int]:
-        """Waiting tasks that surely run nowhere, whoever has not been heard.
+    def idle_waiting(self, run: StepRun) -> set[int]:
+        """Return waiting tasks that run on no agent, reported or not.
 
-        A task that was seen running under this reign runs nowhere else. A
-        step after one with such a task was never begun before, as that task
-        was not done.
+        A task that was seen running under this epoch runs nowhere else. If a
+        predecessor step has such a task, the step was never started before,
+        as that task was not done.
         """
-        if self._is_untouched(run):
+        if self._was_never_started(run):
             return run.waiting
-        return run.waiting & run.located
+        return run.waiting & run.observed
 
     def ready_runs(self) -> Iterator[StepRun]:
-        """Step runs whose turn has come, unless the job has ended."""
+        """Iterate over step runs with done predecessors, none after the end."""
         if self.final_state is not None:
             return
         for run in self.step_runs.values():
-            if self._is_ready(run):
+            if self._are_predecessors_done(run):
                 yield run
 
     def open_runs(self) -> Iterator[StepRun]:
-        """Step runs with waiting tasks whose turn has come."""
+        """Iterate over ready step runs that have waiting tasks."""
         if self.final_state is not None:
             return
         for run in self.step_runs.values():
-            if run.waiting and self._is_ready(run):
+            if run.waiting and self._are_predecessors_done(run):
                 yield run
 
     def idle_ms(self, now: float) -> float:
-        """For how long tasks have waited while none of the job runs."""
+        """Return for how long tasks have waited while none of the job runs."""
         if any(run.running for run in self.step_runs.values()):
             self.idle_since = None
             return 0
@@ -219,7 +230,10 @@
         return now - self.idle_since
 
     def work_left(self) -> float:
-        """Estimated core-milliseconds of tasks that are not done."""
+        """Return the estimated CPU work of tasks that are not done.
+
+        The unit is a thousandth of a core times a millisecond.
+        """
         return sum(
             (run.step.count - run.done.bit_count())
             * run.step.estimate_ms
@@ -228,40 +242,40 @@
         )
 
     def next_attempt(self, task: str) -> int:
-        """Number a new attempt above all earlier ones of the task."""
-        base = self.epoch * _ATTEMPTS_PER_REIGN if self.is_inherited else 0
-        number = self.number_by_task.get(task, base) + 1
-        self.number_by_task[task] = number
+        """Return a new attempt number above all earlier ones of a task."""
+        base = self.epoch * _ATTEMPTS_PER_EPOCH if self.is_inherited else 0
+        number = self.attempt_by_task.get(task, base) + 1
+        self.attempt_by_task[task] = number
         return number
 
     def next_gang_attempt(self, names: list[TaskName]) -> int:
-        """Number an attempt of a whole gang: its members share it."""
+        """Return a new attempt number that all members of a gang share."""
         number = max(self.next_attempt(str(name)) for name in names)
         for name in names:
-            self.number_by_task[str(name)] = number
+            self.attempt_by_task[str(name)] = number
         return number
 
     def gang_checkpoint(self, names: list[TaskName]) -> str:
-        """Return what a gang can be resumed from: any member's will do."""
+        """Return the highest checkpoint of a gang's members; any would do."""
         known = [self.checkpoint_by_task.get(str(name), '') for name in names]
         return max(known)
 
-    def saw_number(self, task: str, number: int) -> None:
-        """An attempt with this number exists."""
-        known = self.number_by_task.get(task, 0)
-        self.number_by_task[task] = max(known, number)
+    def observe_attempt(self, task: str, number: int) -> None:
+        """Record that an attempt with this number exists."""
+        known = self.attempt_by_task.get(task, 0)
+        self.attempt_by_task[task] = max(known, number)
 
-    def keep_checkpoint(self, task: str, checkpoint: str) -> None:
-        """Note what a task can be resumed from; empty says nothing new."""
+    def record_checkpoint(self, task: str, checkpoint: str) -> None:
+        """Record the checkpoint of a task; ignore an empty one."""
         if checkpoint:
             self.checkpoint_by_task[task] = checkpoint
 
-    def take_done(self, name: TaskName) -> bool:
-        """Note a task's end; False if it was known."""
-        run = self.run_of(name)
+    def record_done(self, name: TaskName) -> bool:
+        """Record that a task is done; return False if that was known."""
+        run = self.step_run_of(name)
         if run is None or run.is_done_task(name.index):
             return False
-        run.finished(name.index)
+        run.mark_done(name.index)
         self.progress.done[run.name] = run.done
         self.checkpoint_by_task.pop(str(name), None)
         self.crashes.clear(self.budget_key(name))
@@ -269,9 +283,9 @@
             self.final_state = self.final_state or JobState.COMPLETED
         return True
 
-    def take_failed(self, name: TaskName, attempt: int) -> bool:
-        """Count a failed attempt; True if the job fails by it."""
-        run = self.run_of(name)
+    def record_failure(self, name: TaskName, attempt: int) -> bool:
+        """Record a failed attempt; return True if the job fails by it."""
+        run = self.step_run_of(name)
         if run is None:
             return False
         failed = self.progress.failed.setdefault(self.budget_key(name), [])
@@ -286,20 +300,22 @@
         return True
 
     def budget_key(self, name: TaskName) -> str:
-        """Name what shares a budget of attempts: a task, or a whole gang."""
-        # A gang fails as one, whichever member it was.
+        """Return the key of the budget of attempts of a task.
+
+        The members of a gang share one budget, as the gang fails as a whole.
+        """
         index = 0 if self.job.steps[name.step].is_gang else name.index
         return f'{name.occurrence}.{name.step}.{index}'
 
     @property
     def is_all_done(self) -> bool:
-        """Whether each task of each occurrence has ended as done."""
-        return self._opened == self.job.occurrences and all(
+        """Whether all tasks of all occurrences are done."""
+        return self._open_count == self.job.occurrences and all(
             run.is_done for run in self.step_runs.values()
         )
 
     def deadline(self, occurrence: int = 0) -> float:
-        """When an occurrence should be completed, in ms since 1970."""
+        """Return when an occurrence should be completed, in ms since 1970."""
         queue = self.job.queue
         allowed = (
             queue.slack_factor * self.job.critical_path_ms + queue.target_ms
@@ -308,18 +324,18 @@
         return max(self.accepted_ms, due_ms) + allowed
 
     @property
-    def _opened(self) -> int:
-        """How many occurrences are open."""
+    def _open_count(self) -> int:
+        """The number of open occurrences."""
         return len(self.step_runs) // len(self.job.steps)
 
-    def _is_untouched(self, run: StepRun) -> bool:
-        """Whether no task of a step was ever started before this reign."""
+    def _was_never_started(self, run: StepRun) -> bool:
+        """Whether no task of a step was started before this epoch."""
         return any(
-            self.step_runs[f'{run.occurrence}.{earlier}'].located
+            self.step_runs[f'{run.occurrence}.{earlier}'].observed
             for earlier in run.step.after
         )
 
-    def _is_ready(self, run: StepRun) -> bool:
+    def _are_predecessors_done(self, run: StepRun) -> bool:
         return all(
             self.step_runs[f'{run.occurrence}.{earlier}'].is_done
             for earlier in run.step.after
--- a/hyssopring/jobs/locations.py
+++ b/hyssopring/jobs/locations.py
@@ -1,73 +1,73 @@
-"""Which agents may run a lasting task, as a shard's owner tells successors."""
+"""Writes which agents may run a keeper's task, for the next owners."""
 
 from collections import defaultdict
 from typing import Callable, Final, Iterable, Mapping
 
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
-from hyssopring.jobs.job_record import JobRecord
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.former_owner import FormerOwner
+from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.model import TaskName
-from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
 
 __all__ = ('Locations',)
 
-_LOOK_MS: Final = MILLIS_PER_SECOND
+_UPDATE_INTERVAL_MS: Final = MILLIS_PER_SECOND
 
-# Whether an agent has told this reign what it runs.
-IsHeard = Callable[[str], bool]
+# Whether an agent has sent a report under this epoch.
+IsReported = Callable[[str], bool]
 
 
 class Locations:
-    """Keeps the lasting tasks in the agents' rows up to date.
+    """Keeps the keepers' tasks in the agents' rows up to date.
 
-    A task is added before it is ordered. It is taken off again once it runs
-    elsewhere or its job has ended; until then it may start there again at once.
+    A task is added before it is started. It is removed once it runs elsewhere
+    or its job has ended; until then it may start there again without a write.
     """
 
     def __init__(
         self,
         clock: Clock,
         roster: Roster,
-        reign_rows: EpochRows,
+        epoch_rows: EpochRows,
         former: FormerOwner,
         by_job: Mapping[str, JobRecord],
     ) -> None:
-        """Look at the tasks of ``by_job``."""
+        """Track the keepers' tasks of the jobs in ``by_job``."""
         self._clock = clock
         self._roster = roster
-        self._reign_rows = reign_rows
+        self._epoch_rows = epoch_rows
         self._former = former
         self._by_job = by_job
-        self._looked_at = clock.now()
+        self._updated_at = clock.now()
         self._agents_by_task: dict[str, set[str]] = defaultdict(set)
 
     def ensure_located(self, agent_id: str, tasks: list[str]) -> bool:
-        """Whether an agent's row lists tasks; else write that it does."""
+        """Return whether an agent's row lists tasks; if not, add them."""
         if self._roster.is_located(agent_id, tasks):
             return True
-        known = self._roster.tasks(agent_id)
-        self._roster.locate(agent_id, {*known, *tasks})
+        listed = self._roster.tasks(agent_id)
+        self._roster.set_tasks(agent_id, {*listed, *tasks})
         return False
 
-    def loaded(self) -> None:
-        """The agents' rows are known: note which agents each task is in.
+    def load(self) -> None:
+        """Index the loaded rows by task.
 
-        Rows of agents that are still to be heard do not change.
+        The rows of unreported agents do not change after that.
         """
         for agent_id in self._roster.agents:
             for task in self._roster.tasks(agent_id):
                 self._agents_by_task[task].add(agent_id)
 
-    def possible_agents(self, task: str, unheard: set[str]) -> set[str]:
-        """Return the unheard agents that may run a lasting task."""
-        if not self._reign_rows.is_complete:
-            return unheard
-        return self._agents_by_task.get(task, set()) & unheard
+    def possible_agents(self, task: str, unreported: set[str]) -> set[str]:
+        """Return the unreported agents that may run a keeper's task."""
+        if not self._epoch_rows.is_complete:
+            return unreported
+        return self._agents_by_task.get(task, set()) & unreported
 
     def located_on(self, task: str, workers: Iterable[Worker]) -> set[str]:
-        """Return the boots of workers on which a task may be ordered now."""
+        """Return the boots of workers whose rows list a task."""
         return {
             worker.boot
             for worker in workers
@@ -75,30 +75,31 @@
         }
 
     def update(
-        self, fleet: Fleet, is_heard: IsHeard, has_unheard: bool
+        self, fleet: Fleet, is_reported: IsReported, has_unreported: bool
     ) -> None:
-        """Bring the rows up to date, if it is time to; call regularly.
+        """Update the rows about once a second; call regularly.
 
         Args:
-            fleet: The agents as this entry knows them.
-            is_heard: Tells agents whose rows may be changed.
-            has_unheard: Whether some agent has not told what it runs.
+            fleet: The agents known to this entry.
+            is_reported: Whether an agent has reported, so that its row may
+                change.
+            has_unreported: Whether some agent has not reported yet.
         """
         now = self._clock.now()
-        if now - self._looked_at < _LOOK_MS:
+        if now - self._updated_at < _UPDATE_INTERVAL_MS:
             return
-        self._looked_at = now
+        self._updated_at = now
         agent_by_task = self._running(fleet)
         is_all_located = True
         for worker in fleet.by_agent.values():
-            if is_heard(worker.agent_id) and worker.agent_id in self._roster:
+            if is_reported(worker.agent_id) and worker.agent_id in self._roster:
                 placed = self._placed(worker)
                 self._update(worker.agent_id, placed, agent_by_task)
                 is_all_located &= self._roster.is_located(
                     worker.agent_id, placed
                 )
-        if is_all_located and not has_unheard and not self._former.may_act:
-            self._reign_rows.complete()
+        if is_all_located and not has_unreported and not self._former.may_act:
+            self._epoch_rows.mark_complete()
 
     def _update(
         self,
@@ -106,35 +107,35 @@
         placed: set[str],
         agent_by_task: Mapping[str, str],
     ) -> None:
-        """Add what was ordered there; take off what has moved or ended."""
-        kept = set(self._roster.tasks(agent_id))
+        """Add the tasks started there; remove those that moved or ended."""
+        retained = set(self._roster.tasks(agent_id))
         if not self._former.may_act:
-            # A former owner could order again what it has listed there.
-            kept = {
+            # While it may act, a former owner may start listed tasks again.
+            retained = {
                 task
-                for task in kept
+                for task in retained
                 if self._is_live(task)
                 and agent_by_task.get(task, agent_id) == agent_id
             }
-        self._roster.locate(agent_id, kept | placed)
+        self._roster.set_tasks(agent_id, retained | placed)
 
     def _running(self, fleet: Fleet) -> dict[str, str]:
-        """Return the agents of the tasks that reports have named."""
+        """Return the agents of the keepers' tasks that are in reports."""
         return {
             task: worker.agent_id
             for worker in fleet.by_agent.values()
             for task, placed in worker.placed_by_task.items()
-            if self._is_ours(placed) and placed.reports > 0
+            if self._is_own_keeper(placed) and placed.reports > 0
         }
 
     def _placed(self, worker: Worker) -> set[str]:
         return {
             task
             for task, placed in worker.placed_by_task.items()
-            if self._is_ours(placed)
+            if self._is_own_keeper(placed)
         }
 
-    def _is_ours(self, placed: PlacedAttempt) -> bool:
+    def _is_own_keeper(self, placed: PlacedAttempt) -> bool:
         return placed.step.is_keeper and placed.name.job_id in self._by_job
 
     def _is_live(self, task: str) -> bool:
--- a/hyssopring/jobs/owned_shard.py
+++ b/hyssopring/jobs/owned_shard.py
@@ -1,4 +1,4 @@
-"""The jobs of one shard that this entry owns."""
+"""The jobs of one shard that this entry owns, under one epoch."""
 
 from dataclasses import dataclass
 from typing import Any, Callable, Final
@@ -7,15 +7,14 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.absences import Absences
-from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.documents import JobRow, ProgressRow
+from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.former_owner import FormerOwner, AcquiredShard
+from hyssopring.jobs.former_owner import AcquiredShard, FormerOwner
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.locations import Locations
 from hyssopring.jobs.model import JobState, TaskName
-from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.progress_writer import Ack, ProgressWriter, owner_check
-from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster import Roster
 from hyssopring.jobs.row_keys import (
     cancel_key,
@@ -23,6 +22,7 @@
     job_key,
     progress_key,
 )
+from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.rows import (
     Committed,
     Row,
@@ -37,48 +37,61 @@
 
 __all__ = ('Ack', 'OwnedShard', 'ShardEvents')
 
-# A transaction holds at most 100 entries: a job has three rows.
+# A transaction holds at most 100 entries; a job takes three.
 _MAX_FORGOTTEN: Final = 30
 
 
 @dataclass(frozen=True, slots=True)
 class ShardEvents:
-    """Whom a shard tells of what happens in it."""
+    """Callbacks for events in a shard.
 
-    on_acks: Callable[[list[Ack]], None]
-    on_deposed: Callable[['OwnedShard'], None]
+    Attributes:
+        on_ends_durable: Called with the ends that agents may drop.
+        on_ownership_lost: Called when another owner has the shard.
+        on_job: Called with each job that is added after the load.
+        on_cancelled: Called with each job that is cancelled.
+        on_loaded: Called once all stored jobs are loaded.
+        on_roster_written: Called when rows of the roster are written.
+    """
+
+    on_ends_durable: Callable[[list[Ack]], None]
+    on_ownership_lost: Callable[['OwnedShard'], None]
     on_job: Callable[[JobRecord], None]
     on_cancelled: Callable[[JobRecord], None]
     on_loaded: Callable[[], None]
-    on_listed: Callable[[], None]
+    on_roster_written: Callable[[], None]
 
 
 class OwnedShard:
-    """One shard under one reign.
+    """One shard under one epoch.
 
     Attributes:
-        former: What is known of the owners before this one.
-        heard: Agents that have told what they run and know this reign.
-        unheard: Agents that have not told this reign yet what they run.
-        is_loaded: Whether all stored jobs are known.
+        epoch: The number of this ownership; each takeover increments it.
+        version: The version of the owner row.
+        former: What is known of the former owners.
+        reported: Agents that have sent a report under this epoch.
+        unreported: Listed agents without a complete report under this epoch;
+            they may still run tasks that former owners ordered.
+        is_loaded: Whether all stored jobs are loaded.
+        is_dropped: Whether this entry has stopped owning the shard.
     """
 
     def __init__(
         self,
-        taken: AcquiredShard,
+        acquired: AcquiredShard,
         reactor: Any,
         clock: Clock,
         wall_ms: Callable[[], float],
         store: RowStore,
         events: ShardEvents,
     ) -> None:
-        """Call ``load`` next."""
-        self.shard = taken.shard
-        self.epoch = taken.reign
-        self.version = taken.version
-        self.former = FormerOwner(clock, taken)
-        self._confirmed_at = taken.confirmed_at
-        self._cancelled_early: set[str] = set()
+        """Create the shard; call ``load`` next."""
+        self.shard = acquired.shard
+        self.epoch = acquired.reign
+        self.version = acquired.version
+        self.former = FormerOwner(clock, acquired)
+        self._confirmed_at = acquired.confirmed_at
+        self._cancelled_before_job: set[str] = set()
         self._clock = clock
         self._store = store
         self._events = events
@@ -88,34 +101,34 @@
         self.is_loaded = False
         self.is_dropped = False
         self._live: dict[str, JobRecord] = {}
-        self._early: list[JobRow] = []
-        self._odd = RowParser()
-        # Jobs whose progress cannot be read; see ``_inherit``.
-        self._unclear: set[str] = set()
-        self._check = owner_check(taken.shard, taken.version)
-        reign_rows = EpochRows(
+        self._rows_before_load: list[JobRow] = []
+        self._parser = RowParser()
+        # Jobs whose progress row is malformed; see ``_inherit``.
+        self._malformed_progress: set[str] = set()
+        self._check = owner_check(acquired.shard, acquired.version)
+        epoch_rows = EpochRows(
             store,
-            taken.shard,
+            acquired.shard,
             self._check,
-            taken.roster,
-            not taken.is_former_over,
+            acquired.roster,
+            not acquired.is_former_over,
         )
         self.roster = Roster(
             clock,
             store,
-            taken.shard,
+            acquired.shard,
             self._check,
-            reign_rows,
-            events.on_listed,
+            epoch_rows,
+            events.on_roster_written,
         )
         self._reader = ShardReader(reactor, clock, store, self)
         self.locations = Locations(
-            clock, self.roster, reign_rows, self.former, self.by_job
+            clock, self.roster, epoch_rows, self.former, self.by_job
         )
         self._absences = Absences(
             clock,
             self.roster,
-            reign_rows,
+            epoch_rows,
             self.former,
             self._reader.store_time,
         )
@@ -125,79 +138,78 @@
             store,
             self._check,
             self.by_job,
-            events.on_acks,
+            events.on_ends_durable,
             self.on_ownership_lost,
         )
 
     def load(self) -> None:
-        """Read what is stored."""
+        """Start to read the stored rows."""
         self._reader.load()
 
     def drop(self) -> None:
-        """Write nothing more."""
+        """Stop writing: the shard is no longer owned."""
         self.is_dropped = True
         self._writer.is_stopped = True
 
     def startable(self, record: JobRecord, run: StepRun) -> set[int]:
-        """Return the waiting tasks of a step that may start now.
+        """Return the indices of waiting tasks of a step that may start now.
 
-        A job of an earlier reign may have tasks on an agent that was not
-        heard yet; started elsewhere they would run twice.
+        A job of an earlier epoch may have tasks on an unreported agent;
+        starting them elsewhere would run them twice.
         """
         if not record.is_inherited or not self.unreported:
             return run.waiting
-        located = record.located_waiting(run)
+        idle_tasks = record.idle_waiting(run)
         if not run.step.is_keeper:
-            return located
-        return located | {
+            return idle_tasks
+        return idle_tasks | {
             index
             for index in run.waiting
             if not self.possible_agents(run.task(record.job.job_id, index))
         }
 
     def possible_agents(self, name: TaskName) -> set[str]:
-        """Return the unheard agents that may run a lasting task."""
+        """Return the unreported agents that may run a keeper's task."""
         return self.locations.possible_agents(str(name), self.unreported)
 
     def wait_ms(self, agent_id: str) -> float:
-        """For how long an unheard agent may still run what it was ordered."""
+        """Return for how long, in ms, an unreported agent may run tasks."""
         return max(
             0, self._absences.grant_expires_at(agent_id) - self._clock.now()
         )
 
     def on_ownership_confirmed(self, sent_at: float) -> None:
-        """A reading that was sent then shows that the shard is still owned."""
+        """Record that a read sent at this time confirmed the ownership."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
     @property
-    def is_confirmed(self) -> bool:
-        """Whether the shard was surely owned a short while ago.
+    def is_ownership_confirmed(self) -> bool:
+        """Whether the ownership was confirmed within the owner's lease.
 
-        An entry's own row says nothing of its shards: an owner that was
-        frozen, or turned away by the store for a while, renews it and would
-        go on for ever, long after its successor's wait for it is over.
+        The entry's own row does not prove that it owns the shard. An owner
+        that was frozen, or refused by the store for a while, renews that row
+        later and would act on long after its successor stopped waiting.
         """
         return self._clock.now() - self._confirmed_at < OWNER_LEASE_MS
 
     def may_start_on(self, agent_id: str) -> bool:
         """Whether a start may be sent to an agent.
 
-        Its next owner must find it on the roster; and until it has confirmed
-        this reign, a former owner may still order and grant there, so that
-        nothing is known of what runs on it or for how long.
+        The agent must be on the roster, where the next owner finds it. Until
+        it has reported under this epoch, a former owner may still send it
+        starts and grants, so that its tasks and their expiry are unknown.
         """
         is_listed = agent_id in self.reported and agent_id in self.roster
         return is_listed and self.roster.may_grant(agent_id)
 
     def tick(self, fleet: Fleet) -> None:
-        """Give up agents on which nothing can run any more.
+        """Expire unreported agents and update the rows; call regularly.
 
         Args:
-            fleet: The agents as this entry knows them.
+            fleet: The agents known to this entry.
         """
         now = self._clock.now()
-        # One that was granted under this reign and is not heard yet runs on
-        # until that grant is over.
+        # An agent may have a grant of this epoch before its first report.
         self.unreported = {
             agent_id
             for agent_id in self.unreported
@@ -215,7 +227,7 @@
             self.roster.write()
 
     def live_jobs(self) -> list[JobRecord]:
-        """Return the jobs whose final state is not decided."""
+        """Return the jobs without a final state."""
         live = [
             record
             for record in self._live.values()
@@ -226,46 +238,47 @@
         return live
 
     def add(self, row: JobRow, is_inherited: bool = False) -> None:
-        """Take a job that was accepted."""
+        """Add an accepted job; one that is known is ignored."""
         if not self.is_loaded:
-            # The rows are read first: the former owner may have begun it.
-            self._early.append(row)
+            # The former owner may have started it; load its progress first.
+            self._rows_before_load.append(row)
             return
         job_id = row.job.job_id
         if self.is_known(job_id):
             return
         record = JobRecord.from_row(row, self.epoch, is_inherited)
-        self._keep(record)
-        if job_id in self._cancelled_early:
-            self._cancelled_early.discard(job_id)
+        self._add_record(record)
+        if job_id in self._cancelled_before_job:
+            self._cancelled_before_job.discard(job_id)
             self.cancel(job_id)
             return
         self._events.on_job(record)
 
     def is_known(self, job_id: str) -> bool:
-        """Whether a job was read, found or told of before."""
-        return job_id in self.by_job or job_id in self._unclear
+        """Whether a job was loaded, found or added before."""
+        return job_id in self.by_job or job_id in self._malformed_progress
 
     def on_ownership_lost(self) -> None:
-        """Another owner has the shard."""
-        self._events.on_deposed(self)
+        """Report that another owner has the shard."""
+        self._events.on_ownership_lost(self)
 
     def on_job_row_found(self, row: Row) -> None:
-        """A stored job that nobody has told of.
+        """Add a stored job for which no notice came.
 
-        Another entry may have told it to the former owner, which may have
-        begun it since.
+        The notice may have gone to the former owner, which may have started
+        the job.
         """
         job_row = self._read_job(row)
         if job_row is not None:
             self.add(job_row, is_inherited=True)
 
     def cancel(self, job_id: str) -> None:
-        """A job's cancellation is durable."""
+        """Cancel a job whose cancellation is durable."""
         record = self.by_job.get(job_id)
         if record is None:
-            # Its notice has overtaken the job's, which would be started.
-            self._cancelled_early.add(job_id)
+            # The cancellation arrived before the job; keep it, or the job
+            # would be started.
+            self._cancelled_before_job.add(job_id)
             return
         if record.final_state is not None:
             return
@@ -275,23 +288,23 @@
         self._events.on_cancelled(record)
 
     def save(self, record: JobRecord, ack: Ack | None = None) -> None:
-        """Make a job's progress durable, then acknowledge an end."""
+        """Write a job's progress, then acknowledge an end."""
         self._writer.save(record.job.job_id, ack)
 
     def poll(self) -> None:
-        """Look for what messages have missed."""
+        """Read jobs and cancellations whose notices were lost."""
         if self.is_loaded and not self.is_dropped:
-            self._cancelled_early.clear()
+            self._cancelled_before_job.clear()
             self._reader.poll()
 
     def on_agent_rows(self, agents: list[Row]) -> None:
-        """Take over the agents' rows; they may be granted from now on."""
-        self.roster.loaded(agents, self._reader.store_time)
+        """Load the agents' rows; grants are allowed from now on."""
+        self.roster.load(agents, self._reader.store_time)
 
     def on_job_rows(self, jobs: list[Row], ends: list[Row]) -> None:
-        """Take over all stored rows."""
+        """Load the stored jobs and their progress."""
         self.unreported = set(self.roster.agents)
-        self.locations.loaded()
+        self.locations.load()
         end_by_job = {row.row_key.key: row for row in ends}
         for row in jobs:
             if is_job_key(row.row_key.key):
@@ -304,12 +317,12 @@
             jobs=len(self.by_job),
             unheard=len(self.unreported),
         )
-        for early in self._early:
-            self.add(early)
+        for early_row in self._rows_before_load:
+            self.add(early_row)
         self._events.on_loaded()
 
     def forget_ended(self, before_ms: float) -> None:
-        """Remove jobs that ended before this time (since 1970)."""
+        """Remove jobs that ended before a time in ms since 1970."""
         ended = [
             record.job.job_id
             for record in self.by_job.values()
@@ -327,41 +340,44 @@
                 progress_key(job_id),
             )
         ]
-        removing = self._store.commit(
+        deferred = self._store.commit(
             Transaction((self._check,), (), tuple(removals)),
         )
-        removing.addCallbacks(self._forgotten, _later, callbackArgs=(ended,))
+        deferred.addCallbacks(
+            self._on_ended_removed, _ignore_store_failure, callbackArgs=(ended,)
+        )
 
-    def _forgotten(self, outcome: object, ended: list[str]) -> None:
+    def _on_ended_removed(self, outcome: object, ended: list[str]) -> None:
         if isinstance(outcome, Committed):
             for job_id in ended:
                 self.by_job.pop(job_id, None)
 
     def _read_job(self, row: Row) -> JobRow | None:
-        """Read a job, None if the row holds none or another one's.
+        """Parse a job; None if the row is malformed or holds another job.
 
-        A job taken from a second row would begin anew without its progress.
+        A job stored under the key of another one would start without its
+        progress.
         """
-        job_row = self._odd.parse(JobRow.from_text, row)
+        job_row = self._parser.parse(JobRow.from_text, row)
         if job_row is None or job_row.job.job_id == row.row_key.key:
             return job_row
-        self._odd.log_malformed(row, 'job: the row of another one')
+        self._parser.log_malformed(row, 'job: job_id differs from the row key')
         return None
 
     def _inherit(self, row: Row, ends: Row | None) -> None:
-        """Take over a job, unless it is not known what of it is done.
+        """Load a job, unless its progress row is malformed.
 
-        Begun anew, its done tasks would run a second time. It stays in the
-        store and waits for an owner that can read its progress.
+        Without its progress, tasks that are done would run a second time. The
+        job stays in the store for an owner that can read its progress.
         """
         job_row = self._read_job(row)
         if job_row is None:
             return
         progress = None
         if ends is not None:
-            progress = self._odd.parse(ProgressRow.from_text, ends)
+            progress = self._parser.parse(ProgressRow.from_text, ends)
             if progress is None:
-                self._unclear.add(row.row_key.key)
+                self._malformed_progress.add(row.row_key.key)
                 return
         record = JobRecord.from_row(
             job_row,
@@ -370,14 +386,14 @@
             progress=progress,
         )
         record.version = ends.version if ends else 0
-        self._keep(record)
+        self._add_record(record)
 
-    def _keep(self, record: JobRecord) -> None:
+    def _add_record(self, record: JobRecord) -> None:
         self.by_job[record.job.job_id] = record
         if record.final_state is None:
             self._live[record.job.job_id] = record
 
 
-def _later(failure: TwistedFailure) -> None:
-    """The next turn tries again."""
+def _ignore_store_failure(failure: TwistedFailure) -> None:
+    """Ignore a failed write; the next call retries."""
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/owned_shards.py
+++ b/hyssopring/jobs/owned_shards.py
@@ -1,10 +1,10 @@
-"""All shards that this entry owns, and the jobs in them."""
+"""The shards that this entry owns, and look-ups of their jobs."""
 
 from typing import Iterable
 
-from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.documents import JobRow
 from hyssopring.jobs.fleet import Worker
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.messages import ShardEpoch, WorkerReport
 from hyssopring.jobs.model import JobState
 from hyssopring.jobs.owned_shard import OwnedShard
@@ -14,49 +14,53 @@
 
 
 class OwnedShards:
-    """Finds an owned shard or job."""
+    """The owned shards by number.
+
+    Attributes:
+        by_shard: The owned shards by their numbers.
+    """
 
     def __init__(self) -> None:
-        """Own none."""
+        """Create a collection without shards."""
         self.by_shard: dict[int, OwnedShard] = {}
 
     def record_of(self, job_id: str) -> JobRecord | None:
-        """Return a job of an owned shard."""
+        """Return a job of an owned shard, None if it is unknown."""
         owned = self.by_shard.get(shard_of(job_id))
         return owned.by_job.get(job_id) if owned else None
 
     def accept(self, row: JobRow) -> None:
-        """A job was accepted for a shard that may be an owned one."""
+        """Add an accepted job if its shard is owned."""
         owned = self.by_shard.get(shard_of(row.job.job_id))
         if owned is not None:
             owned.add(row)
 
     def cancel(self, job_id: str) -> None:
-        """A job's cancellation is durable."""
+        """Cancel a job whose cancellation is durable, if it is owned."""
         owned = self.by_shard.get(shard_of(job_id))
         if owned is not None:
             owned.cancel(job_id)
 
     def state_of(self, job_id: str) -> JobState | None:
-        """Return the state of an owned job, as it is durably known."""
+        """Return the durable state of an owned job, None if it is unknown."""
         record = self.record_of(job_id)
         return record.state if record else None
 
-    def counted(self) -> list[int]:
-        """The shards whose jobs are known."""
+    def loaded_shards(self) -> list[int]:
+        """Return the numbers of the shards whose jobs are loaded."""
         return [
             shard for shard, owned in self.by_shard.items() if owned.is_loaded
         ]
 
-    def waiting(self, queue: str) -> int:
-        """Count a queue's jobs without a start in the counted shards."""
+    def count_queued(self, queue: str) -> int:
+        """Count the jobs of a queue without a start in the loaded shards."""
         return sum(
             record.job.queue.name == queue and record.state is JobState.QUEUED
             for record in self.live_jobs()
         )
 
     def live_jobs(self) -> list[JobRecord]:
-        """Return the jobs whose final state is not decided."""
+        """Return the jobs without a final state in the loaded shards."""
         return [
             record
             for owned in self.by_shard.values()
@@ -65,17 +69,19 @@
         ]
 
     def startable(self, record: JobRecord, run: StepRun) -> set[int]:
-        """Return the waiting tasks of a step that may start now."""
+        """Return the indices of waiting tasks of a step that may start now."""
         owned = self.by_shard[shard_of(record.job.job_id)]
         return owned.startable(record, run)
 
     @property
-    def are_confirmed(self) -> bool:
-        """Whether each owned shard was surely owned a short while ago."""
-        return all(owned.is_confirmed for owned in self.by_shard.values())
+    def is_ownership_confirmed(self) -> bool:
+        """Whether the ownership of each shard was confirmed recently."""
+        return all(
+            owned.is_ownership_confirmed for owned in self.by_shard.values()
+        )
 
     def startable_on(self, workers: Iterable[Worker]) -> list[Worker]:
-        """Return the workers that tasks of each owned shard may start on."""
+        """Return the workers on which tasks of all owned shards may start."""
         return [
             worker
             for worker in workers
@@ -86,27 +92,30 @@
         ]
 
     def may_grant(self, agent_id: str) -> bool:
-        """Whether no owned shard's row keeps an agent from being granted."""
+        """Whether all owned shards' rows allow a grant to an agent."""
         return all(
             owned.roster.may_grant(agent_id) for owned in self.by_shard.values()
         )
 
-    def readmit(self, agent_id: str) -> None:
-        """An agent that rows say to be away is here again."""
+    def clear_expiry(self, agent_id: str) -> None:
+        """Remove the expiry from an agent's rows, as it is connected again."""
         for owned in self.by_shard.values():
-            owned.roster.readmit(agent_id)
+            owned.roster.clear_expiry(agent_id)
 
-    def known_to(self, report: WorkerReport) -> set[int]:
-        """The owned shards that the agent knows under their reign."""
-        told = {known.shard: known.reign for known in report.reigns}
+    def shards_acknowledged_in(self, report: WorkerReport) -> set[int]:
+        """Return the owned shards whose current epoch a report names."""
+        epoch_by_shard = {
+            shard_epoch.shard: shard_epoch.reign
+            for shard_epoch in report.reigns
+        }
         return {
             owned.shard
             for owned in self.by_shard.values()
-            if told.get(owned.shard) == owned.epoch
+            if epoch_by_shard.get(owned.shard) == owned.epoch
         }
 
     def epochs(self) -> list[ShardEpoch]:
-        """Return each owned shard with its reign."""
+        """Return each owned shard with its epoch."""
         return [
             ShardEpoch(owned.shard, owned.epoch)
             for owned in self.by_shard.values()
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -1,13 +1,14 @@
-"""The owner's part in jobs: what starts where, and what its end means."""
+"""Starts, stops and tracks the tasks of the shards that this entry owns."""
 
 from functools import singledispatchmethod
 from typing import Any, Callable, Final
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.ticket_manager import TicketManager
 from hyssopring.jobs.advice_client import AdviceClient
-from hyssopring.jobs.job_record import JobRecord
+from hyssopring.jobs.crash_suspects import CrashSuspects
 from hyssopring.jobs.fleet import GRANT_TTL_MS, Fleet, Worker
+from hyssopring.jobs.job_record import JobRecord
+from hyssopring.jobs.keeper_waits import KeeperWaitMonitor
 from hyssopring.jobs.messages import (
     BAD_TICKET,
     RUNNING_HERE,
@@ -25,18 +26,17 @@
 from hyssopring.jobs.owned_shard import Ack, OwnedShard
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.planning import Send, StepPlanner
-from hyssopring.jobs.reports import ReportReader
+from hyssopring.jobs.reports import ReportReconciler
 from hyssopring.jobs.shards import shard_of, shard_of_task
 from hyssopring.jobs.stall_detector import StallDetector
 from hyssopring.jobs.stop_marks import mark_stopping
-from hyssopring.jobs.crash_suspects import CrashSuspects
-from hyssopring.jobs.keeper_waits import KeeperWaitMonitor
+from hyssopring.jobs.ticket_manager import TicketManager
 from hyssopring.jobs.worker_port import StartOutcome
 from hyssopring.logs import Event, log_event
 
 __all__ = ('JobOwner',)
 
-# The worker itself did not take a start, and may not take the next one.
+# Refusals by the worker itself, which may refuse the next start as well.
 _WORKERS_REASONS: Final = frozenset(
     (
         StartOutcome.FENCED.value,
@@ -50,7 +50,7 @@
 
 
 class JobOwner:
-    """Plans the shards that this entry owns."""
+    """Plans the tasks of the owned shards and orders agents to run them."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         send: Send,
         may_act: Callable[[], bool],
         wall_ms: Callable[[], float],
-        on_deposed: Callable[[OwnedShard], None],
+        on_ownership_lost: Callable[[OwnedShard], None],
         advice: AdviceClient,
     ) -> None:
-        """Order agents by ``send`` while ``may_act`` says that it may."""
-        self._on_deposed = on_deposed
+        """Send orders to agents by ``send`` while ``may_act`` returns True."""
+        self._on_ownership_lost = on_ownership_lost
         self._clock = clock
         self._fleet = fleet
         self._send = send
@@ -102,7 +102,7 @@
             self._suspects,
         )
         self._stalls = StallDetector(clock)
-        self._reader = ReportReader(
+        self._reconciler = ReportReconciler(
             clock,
             fleet,
             self.shards,
@@ -119,36 +119,36 @@
         )
 
     def acquire(self, owned: OwnedShard) -> None:
-        """Own a shard from now on."""
+        """Start to own a shard: load its rows and request reports."""
         self.shards.by_shard[owned.shard] = owned
         owned.load()
-        self.ask_all()
+        self.request_all_reports()
 
-    def loaded(self) -> None:
-        """A shard's jobs are known: hear what runs, and what has ended."""
-        self.hear_departed()
+    def on_shard_loaded(self) -> None:
+        """Request what runs and what has ended, now that the jobs are known."""
+        self.process_departed_agents()
         for owned in self.shards.by_shard.values():
             owned.tick(self._fleet)
-        self.ask_all()
+        self.request_all_reports()
 
-    def hear_departed(self) -> None:
-        """Take what agents have said that ended before an owner was here."""
+    def process_departed_agents(self) -> None:
+        """Apply the last messages of agents that left before the load."""
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
                 for departed in list(self._fleet.departed.values()):
-                    self._reader.take_left(departed, owned)
+                    self._reconciler.handle_departed_agent(departed, owned)
 
-    def ask_all(self) -> None:
-        """List all agents, and ask what they run of the owned shards."""
-        self._list_agents()
+    def request_all_reports(self) -> None:
+        """Add all agents to the rosters and request their reports."""
+        self._add_to_roster()
         for worker in self._fleet.by_agent.values():
             if worker.is_connected:
-                self._ask(worker)
+                self._request_report(worker)
 
     def drop(self, owned: OwnedShard) -> None:
-        """Own a shard no more."""
+        """Stop owning a shard and discard its attempts."""
         owned.drop()
-        self._reader.forget(owned.shard)
+        self._reconciler.forget(owned.shard)
         if self.shards.by_shard.get(owned.shard) is owned:
             self.shards.by_shard.pop(owned.shard)
         log_event(Event.SHARD_LOST, shard=owned.shard, reign=owned.epoch)
@@ -157,18 +157,18 @@
                 if shard_of_task(task) == owned.shard:
                     worker.placed_by_task.pop(task)
 
-    def accepted(self, record: JobRecord) -> None:
-        """A job came to an owned shard."""
-        self._reader.job_known(record)
+    def on_job_accepted(self, record: JobRecord) -> None:
+        """Plan a job that was added to an owned shard."""
+        self._reconciler.replay_reports(record)
         self.schedule_planning()
 
-    def cancelled(self, record: JobRecord) -> None:
-        """A job must not run any more."""
+    def on_job_cancelled(self, record: JobRecord) -> None:
+        """Stop the attempts of a cancelled job."""
         self.stop_job(record)
 
-    def recorded(self, acks: list[Ack]) -> None:
-        """Ends are durable: the agents may forget them."""
-        self._reader.recorded(acks)
+    def acknowledge_ends(self, acks: list[Ack]) -> None:
+        """Allow agents to drop ends that are durable."""
+        self._reconciler.mark_durable(acks)
         numbers_by_boot: dict[tuple[str, str], list[int]] = {}
         for ack in acks:
             place = (ack.agent_id, ack.boot)
@@ -176,18 +176,18 @@
         for (agent_id, boot), numbers in numbers_by_boot.items():
             self._send(agent_id, EndsRecorded(boot, numbers))
 
-    def tell_facts(self, worker: Worker, facts: TaskFacts) -> None:
-        """Tell an agent what an attempt takes."""
+    def send_task_facts(self, worker: Worker, facts: TaskFacts) -> None:
+        """Send an agent the size and limits of an attempt."""
         self._send(worker.agent_id, facts)
 
     def agent_connected(self, worker: Worker) -> None:
-        """List an agent, and ask what it runs of the owned shards."""
-        self._list_agents()
-        self._ask(worker)
+        """Add an agent to the rosters and request its report."""
+        self._add_to_roster()
+        self._request_report(worker)
 
     @singledispatchmethod
     def handle_message(self, message: JobsMessage, worker: Worker) -> None:
-        """Take an agent's message."""
+        """Handle a message of an agent; log one of an unexpected type."""
         log_event(
             Event.PEER_ERROR,
             agent=worker.agent_id,
@@ -195,59 +195,61 @@
         )
 
     @handle_message.register
-    def _take_report(self, message: WorkerReport, worker: Worker) -> None:
+    def _handle_report(self, message: WorkerReport, worker: Worker) -> None:
         suspects = self._suspects
         suspects.worker_crashes.record_report(worker, message, suspects.agents)
         worker.report = message
         worker.reported_at = self._clock.now()
-        known = self.shards.known_to(message)
+        acknowledged_shards = self.shards.shards_acknowledged_in(message)
         if self.shards.by_shard and self._may_act():
             self._grant(message, worker)
             is_counted = message.connection == worker.connection
-            if not is_counted or known != set(self.shards.by_shard):
-                self._ask(worker)
-        for shard in known:
+            if not is_counted or acknowledged_shards != set(
+                self.shards.by_shard
+            ):
+                self._request_report(worker)
+        for shard in acknowledged_shards:
             owned = self.shards.by_shard[shard]
-            self._meet(worker, owned)
+            self._record_first_report(worker, owned)
             if owned.is_loaded:
-                self._reader.reconcile(worker, message, owned)
+                self._reconciler.reconcile(worker, message, owned)
             else:
-                # Read again with the next report, once the jobs are known.
+                # Applied with the next report, once the jobs are loaded.
                 worker.reported_at = 0
         self.schedule_planning()
 
-    def _meet(self, worker: Worker, owned: OwnedShard) -> None:
-        """Note the first report of an agent that knows an owner's reign.
+    def _record_first_report(self, worker: Worker, owned: OwnedShard) -> None:
+        """Record the first report of an agent under the shard's epoch.
 
-        A former owner may have granted until now. Counted from this owner's
-        own grants only, an attempt there would be given up while it runs, and
-        run twice.
+        A former owner may have sent a grant until now. If only this owner's
+        grants counted, an attempt could be given up while it still runs, and
+        the task would run twice.
         """
         if worker.agent_id not in owned.reported:
             owned.reported.add(worker.agent_id)
             worker.granted_at = self._clock.now()
 
     @handle_message.register
-    def _take_refusal(self, message: StartRefusal, worker: Worker) -> None:
+    def _handle_refusal(self, message: StartRefusal, worker: Worker) -> None:
         placed = worker.placed_by_task.get(message.task)
-        # Where an attempt of the task runs, it is none that this owner knows
-        # of: started elsewhere the task would run twice. The agent's next
-        # report names the attempt, or shows that it is over.
+        # RUNNING_HERE: an attempt that this owner does not know of runs there.
+        # Starting the task elsewhere would run it twice. The agent's next
+        # report lists the attempt or shows that it has ended.
         is_settled = message.reason != RUNNING_HERE
         if placed and placed.number == message.attempt and is_settled:
             if message.reason == BAD_TICKET:
                 self._advice.record_rejection(placed.name, placed.boot)
             elif message.reason in _WORKERS_REASONS:
                 worker.refused_at = self._clock.now()
-            self._reader.record_worker_lost(worker, placed, message.reason)
+            self._reconciler.record_attempt_lost(worker, placed, message.reason)
         owned = self.shards.by_shard.get(shard_of_task(message.task))
         if owned is not None and message.reign > owned.epoch:
-            # Another entry owns the shard: the agents would refuse all else,
-            # and each refused task would be sent again at once.
-            self._on_deposed(owned)
+            # Another entry owns the shard. Agents would refuse every further
+            # order, and each refused start would be sent again at once.
+            self._on_ownership_lost(owned)
 
     @handle_message.register
-    def _take_left(self, message: AgentLeft, worker: Worker) -> None:
+    def _handle_agent_left(self, message: AgentLeft, worker: Worker) -> None:
         departed = self._fleet.remove_departed(worker, message)
         log_event(
             Event.AGENT_LEFT,
@@ -257,78 +259,82 @@
         )
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
-                self._reader.take_left(departed, owned)
+                self._reconciler.handle_departed_agent(departed, owned)
         self.schedule_planning()
 
     def tick(self) -> None:
-        """Notice what is due or lapsed; call a few times a second."""
+        """Start due occurrences, expire attempts; call a few times a second."""
         now = self._clock.now()
         for record in self.shards.live_jobs():
-            record.open_due(self._wall_ms())
+            record.open_due_occurrences(self._wall_ms())
         self._moves.evacuate()
         if self._may_act():
-            takers = self.shards.startable_on(self._fleet.schedulable_workers())
-            self._moves.relieve(takers)
+            candidates = self.shards.startable_on(
+                self._fleet.schedulable_workers()
+            )
+            self._moves.relieve(candidates)
         if self._stalls.record_tick():
-            self._give_up_lost(now)
-        self._list_agents()
+            self._expire_lost_attempts(now)
+        self._add_to_roster()
         self._advice.check()
         self.waits.check()
         self.schedule_planning()
 
-    def _give_up_lost(self, now: float) -> None:
+    def _expire_lost_attempts(self, now: float) -> None:
         for worker in self._fleet.by_agent.values():
             if worker.placed_by_task and self._is_lost(worker, now):
                 for placed in list(worker.placed_by_task.values()):
-                    self._reader.record_worker_lost(worker, placed, 'lapsed')
+                    self._reconciler.record_attempt_lost(
+                        worker, placed, 'lapsed'
+                    )
         for owned in self.shards.by_shard.values():
             owned.tick(self._fleet)
         self._fleet.forget_lost()
 
     def _is_lost(self, worker: Worker, now: float) -> bool:
-        """Whether nothing that was ordered at an agent can run any more.
+        """Whether no attempt on a worker can still run.
 
-        One that is away may have been restarted, and reach a former owner
-        only: the new process has not heard of this one, and takes the former
-        owner's grants while that one may act.
+        A disconnected agent may have been restarted and reach a former owner
+        only. Its new process does not know this epoch and accepts the former
+        owner's grants as long as that owner may act.
         """
         may_former_act = any(
             owned.former.may_act for owned in self.shards.by_shard.values()
         )
-        is_away = not worker.is_connected
-        return worker.is_lost(now) and not (is_away and may_former_act)
+        is_disconnected = not worker.is_connected
+        return worker.is_lost(now) and not (is_disconnected and may_former_act)
 
-    def _list_agents(self) -> None:
-        """Make agents known to next owners before they get a task."""
+    def _add_to_roster(self) -> None:
+        """Add agents to the rosters before tasks are sent to them."""
         agents = self._fleet.listable_agents()
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
                 owned.roster.add(agents)
 
     def schedule_planning(self) -> None:
-        """Plan once for all that happens in this turn of the reactor."""
+        """Plan once after all events of this reactor iteration."""
         self._planner.schedule_planning()
 
-    def _ask(self, worker: Worker) -> None:
+    def _request_report(self, worker: Worker) -> None:
         if self.shards.by_shard:
-            question = ReportRequest(self.shards.epochs(), worker.connection)
-            self._send(worker.agent_id, question)
+            request = ReportRequest(self.shards.epochs(), worker.connection)
+            self._send(worker.agent_id, request)
 
     def _grant(self, report: WorkerReport, worker: Worker) -> None:
-        """Grant an agent, unless its row tells others that none does."""
+        """Send a grant; an empty one if the agent's row sets an expiry."""
         if worker.has_silent_worker:
             grant = Grant(report.sequence, [], 0)
         elif self.shards.may_grant(worker.agent_id):
             grant = Grant(report.sequence, self.shards.epochs(), GRANT_TTL_MS)
             worker.granted_at = self._clock.now()
         else:
-            # The agent takes any answer for a sign of life.
+            # An empty grant is still a sign of life for the agent.
             grant = Grant(report.sequence, [], 0)
-            self.shards.readmit(worker.agent_id)
+            self.shards.clear_expiry(worker.agent_id)
         self._send(worker.agent_id, grant)
 
     def stop_job(self, record: JobRecord) -> None:
-        """Order the stop of all that runs of a job."""
+        """Order the stop of all attempts of a job."""
         owned = self.shards.by_shard[shard_of(record.job.job_id)]
         for worker in self._fleet.by_agent.values():
             for task, placed in worker.placed_by_task.items():
@@ -343,7 +349,7 @@
         task: str,
         attempt: int,
     ) -> None:
-        """Order an attempt's stop."""
+        """Order an agent to stop an attempt."""
         self._send(
             worker.agent_id,
             StopOrder(owned.shard, owned.epoch, task, attempt),
--- a/hyssopring/jobs/progress_writer.py
+++ b/hyssopring/jobs/progress_writer.py
@@ -1,4 +1,4 @@
-"""Makes the progress of a shard's jobs durable."""
+"""Writes the progress of a shard's jobs to the store."""
 
 from dataclasses import dataclass
 from typing import Any, Callable, Final, Mapping
@@ -22,18 +22,24 @@
 
 __all__ = ('Ack', 'ProgressWriter', 'owner_check')
 
-# Ends that come within this time share a transaction; a job is shown as
-# completed this much later.
+# Ends within this time share a transaction, which delays the visible state
+# of a job by as much.
 _MERGE_S: Final = 0.02
 _RETRY_S: Final = 0.2
-# A transaction holds at most 100 entries: a job takes two, the owner's check
-# one.
+# A transaction holds at most 100 entries: two for each job, and the owner
+# check.
 _MAX_JOBS: Final = 45
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """An end that the agent may forget once it is durable."""
+    """Identifies an end that an agent may drop once it is durable.
+
+    Attributes:
+        agent_id: The agent that reported the end.
+        boot: The incarnation of the worker that listed the end.
+        number: The number of the end in that incarnation.
+    """
 
     agent_id: str
     boot: str
@@ -44,10 +50,13 @@
 
 
 class ProgressWriter:
-    """Writes under one reign, one transaction at a time.
+    """Writes progress rows under one epoch, one transaction at a time.
+
+    Each write checks the owner row, so a delayed call of an owner that has
+    lost the shard is not applied.
 
-    Each write checks the owner's row: a deposed owner writes nothing, however
-    late its calls are carried out.
+    Attributes:
+        is_stopped: Whether nothing is written any more.
     """
 
     def __init__(
@@ -58,22 +67,22 @@
         owner_check: RowCheck,
         by_job: Mapping[str, JobRecord],
         on_acks: Callable[[list[Ack]], None],
-        on_deposed: Callable[[], None],
+        on_ownership_lost: Callable[[], None],
     ) -> None:
-        """Write what ``save`` names of ``by_job``."""
+        """Create a writer for the jobs in ``by_job``."""
         self._reactor = reactor
         self._wall_ms = wall_ms
         self._store = store
         self._owner_check = owner_check
         self._by_job = by_job
         self._on_acks = on_acks
-        self._on_deposed = on_deposed
+        self._on_ownership_lost = on_ownership_lost
         self._dirty: _AcksByJob = {}
         self._is_flushing = False
         self.is_stopped = False
 
     def save(self, job_id: str, ack: Ack | None = None) -> None:
-        """Make a job's progress durable, then acknowledge an end."""
+        """Write a job's progress, then acknowledge an end."""
         acks = self._dirty.setdefault(job_id, [])
         if ack is not None:
             acks.append(ack)
@@ -87,34 +96,34 @@
     def _flush(self) -> None:
         if self.is_stopped:
             return
-        taken = dict(list(self._dirty.items())[:_MAX_JOBS])
-        for job_id in taken:
+        batch = dict(list(self._dirty.items())[:_MAX_JOBS])
+        for job_id in batch:
             self._dirty.pop(job_id)
-        # A job that has ended long ago may have been forgotten since.
-        taken = {
+        # Jobs that ended may have been removed since.
+        batch = {
             job_id: acks
-            for job_id, acks in taken.items()
+            for job_id, acks in batch.items()
             if job_id in self._by_job
         }
-        checks = [self._row_check(job_id) for job_id in taken]
-        puts = [self._put(job_id) for job_id in taken]
-        states = {job_id: self._by_job[job_id].final_state for job_id in taken}
-        saving = self._store.commit(
+        checks = [self._row_check(job_id) for job_id in batch]
+        puts = [self._put(job_id) for job_id in batch]
+        states = {job_id: self._by_job[job_id].final_state for job_id in batch}
+        deferred = self._store.commit(
             Transaction((self._owner_check, *checks), tuple(puts)),
         )
-        saving.addCallbacks(
-            self._flushed,
-            self._flush_failed,
-            callbackArgs=(taken, states),
-            errbackArgs=(taken,),
+        deferred.addCallbacks(
+            self._on_flushed,
+            self._on_flush_failed,
+            callbackArgs=(batch, states),
+            errbackArgs=(batch,),
         )
 
     def _row_check(self, job_id: str) -> RowCheck:
-        """Let a write be carried out only on the row that it was made from.
+        """Return a check that the row still has its last known version.
 
-        A write without an answer may be carried out seconds later, after
-        newer ones of the same owner, and would take their ends back: tasks
-        that were done would start again under the next owner.
+        A write without a response may be applied seconds later, after newer
+        ones of the same owner. It would remove their ends, and tasks that are
+        done would start again under the next owner.
         """
         return RowCheck(progress_key(job_id), self._by_job[job_id].version)
 
@@ -126,34 +135,38 @@
             progress.ended_ms = self._wall_ms()
         return RowPut(progress_key(job_id), progress.to_text())
 
-    def _flushed(
+    def _on_flushed(
         self,
         outcome: Committed | Conflict,
-        taken: _AcksByJob,
+        batch: _AcksByJob,
         states: dict[str, JobState | None],
     ) -> None:
         self._is_flushing = False
         if isinstance(outcome, Conflict):
-            self._rewrite(outcome, taken)
+            self._on_conflict(outcome, batch)
             return
         for job_id, state in states.items():
             self._by_job[job_id].version = outcome.version
             self._publish(job_id, state)
-        self._on_acks([ack for acks in taken.values() for ack in acks])
+        self._on_acks([ack for acks in batch.values() for ack in acks])
         if self._dirty:
             self._flush_after(0)
 
-    def _rewrite(self, conflict: Conflict, taken: _AcksByJob) -> None:
-        """A former write was carried out after all, or another one owns."""
-        version_by_place = {row.row_key: row.version for row in conflict.rows}
+    def _on_conflict(self, conflict: Conflict, batch: _AcksByJob) -> None:
+        """Retry on the current versions, unless the ownership is lost.
+
+        The rows changed because an earlier write without a response was
+        applied, or another owner has the shard.
+        """
+        version_by_key = {row.row_key: row.version for row in conflict.rows}
         check = self._owner_check
-        if version_by_place.get(check.row_key) != check.version:
-            self._on_deposed()
+        if version_by_key.get(check.row_key) != check.version:
+            self._on_ownership_lost()
             return
-        for job_id in taken:
-            place = progress_key(job_id)
-            self._by_job[job_id].version = version_by_place.get(place, 0)
-        self._again(taken, 0)
+        for job_id in batch:
+            row_key = progress_key(job_id)
+            self._by_job[job_id].version = version_by_key.get(row_key, 0)
+        self._requeue(batch, 0)
 
     def _publish(self, job_id: str, state: JobState | None) -> None:
         record = self._by_job[job_id]
@@ -168,17 +181,17 @@
             due_ms=int(record.deadline() - record.accepted_ms),
         )
 
-    def _flush_failed(
+    def _on_flush_failed(
         self,
         failure: TwistedFailure,
-        taken: _AcksByJob,
+        batch: _AcksByJob,
     ) -> None:
         failure.trap(StoreRefused, StoreUncertain)
         self._is_flushing = False
-        self._again(taken, _RETRY_S)
+        self._requeue(batch, _RETRY_S)
 
-    def _again(self, taken: _AcksByJob, seconds: float) -> None:
-        for job_id, acks in taken.items():
+    def _requeue(self, batch: _AcksByJob, seconds: float) -> None:
+        for job_id, acks in batch.items():
             self._dirty[job_id] = acks + self._dirty.get(job_id, [])
         self._flush_after(seconds)
 
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -1,10 +1,11 @@
-"""What agents' reports mean for the jobs of the owned shards."""
+"""Reconciles agents' reports with the attempts that the owner has ordered."""
 
 from typing import Final, Protocol, TypeVar
 
 from hyssopring.clock import Clock
-from hyssopring.jobs.job_record import JobRecord, StepRun
+from hyssopring.jobs.crash_suspects import TRIAL_MS, CrashSuspects
 from hyssopring.jobs.fleet import Departed, Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.messages import (
     AttemptReport,
     EndReport,
@@ -17,41 +18,40 @@
 from hyssopring.jobs.seen_ends import SeenEnds
 from hyssopring.jobs.shards import shard_of, shard_of_task
 from hyssopring.jobs.stop_marks import mark_stopping
-from hyssopring.jobs.crash_suspects import TRIAL_MS, CrashSuspects
 from hyssopring.jobs.task_facts import facts_of
 from hyssopring.jobs.times import HOLD_EXPIRY_MS
 from hyssopring.jobs.unknown_jobs import UnknownJobs
 from hyssopring.logs import Event, log_event
 
-__all__ = ('ReportReader', 'ReportSink')
+__all__ = ('ReportReconciler', 'ReportSink')
 
 _CRASHES: Final = frozenset(
     (AttemptEnd.CRASHED.value, AttemptEnd.CRASHED_IN_TRIAL.value)
 )
 
-_Told = TypeVar('_Told', AttemptReport, EndReport)
+_TaskReport = TypeVar('_TaskReport', AttemptReport, EndReport)
 
 
 class ReportSink(Protocol):
-    """What a report asks the owner to do."""
+    """Receives the actions that follow from a report."""
 
     def stop(
         self, owned: OwnedShard, worker: Worker, task: str, attempt: int
     ) -> None:
-        """Order an attempt's stop."""
+        """Order an agent to stop an attempt."""
 
     def stop_job(self, record: JobRecord) -> None:
-        """Order the stop of all that runs of a job."""
+        """Order the stop of all attempts of a job."""
 
-    def tell_facts(self, worker: Worker, facts: TaskFacts) -> None:
-        """Tell an agent what an attempt takes."""
+    def send_task_facts(self, worker: Worker, facts: TaskFacts) -> None:
+        """Send an agent the size and limits of an attempt."""
 
-    def recorded(self, acks: list[Ack]) -> None:
-        """Tell agents that ends need no keeping any more."""
+    def acknowledge_ends(self, acks: list[Ack]) -> None:
+        """Allow agents to drop ends that are durable."""
 
 
-class ReportReader:
-    """Compares what agents tell with what was ordered."""
+class ReportReconciler:
+    """Applies agents' reports to the jobs of the owned shards."""
 
     def __init__(
         self,
@@ -61,37 +61,37 @@
         sink: ReportSink,
         suspects: CrashSuspects,
     ) -> None:
-        """Hand what follows from a report to ``sink``."""
+        """Create a reconciler that passes its actions to ``sink``."""
         self._suspects = suspects
         self._clock = clock
         self._fleet = fleet
         self._shards = shards
         self._sink = sink
         self._seen_ends = SeenEnds(clock)
-        self._unknown = UnknownJobs(clock)
+        self._unknown_jobs = UnknownJobs(clock)
 
     def forget(self, shard: int) -> None:
-        """A shard is lost."""
+        """Discard the state of a shard that is no longer owned."""
         self._seen_ends.forget(shard)
-        self._unknown.forget(shard)
+        self._unknown_jobs.forget(shard)
 
-    def job_known(self, record: JobRecord) -> None:
-        """Read again what agents have told of a job that was not known.
+    def replay_reports(self, record: JobRecord) -> None:
+        """Apply the last reports again to a job that was unknown until now.
 
-        The former owner may have started it after this one read the shard:
-        started again here, its tasks would run twice.
+        The former owner may have started the job after this owner read the
+        shard. Without its attempts, this owner would start the tasks twice.
         """
         job_id = record.job.job_id
-        if not self._unknown.found(job_id):
+        if not self._unknown_jobs.resolve(job_id):
             return
         owned = self._shards.by_shard[shard_of(job_id)]
         for worker in self._fleet.by_agent.values():
             report = worker.report
             if report is not None and not owned.is_dropped:
-                self._take_job(worker, report, owned, job_id)
+                self._apply_report_to_job(worker, report, owned, job_id)
 
-    def recorded(self, acks: list[Ack]) -> None:
-        """Ends are durable, and their agents are told so now."""
+    def mark_durable(self, acks: list[Ack]) -> None:
+        """Record that ends are durable and are being acknowledged."""
         self._seen_ends.mark_durable(acks)
 
     def reconcile(
@@ -100,34 +100,36 @@
         report: WorkerReport,
         owned: OwnedShard,
     ) -> None:
-        """Take a report that names all attempts of a shard on a worker."""
+        """Apply a report that lists all attempts of a shard on a worker."""
         if not report.boot and report.silent_ms < HOLD_EXPIRY_MS:
-            # A new agent has not met its worker yet, where tasks may run on;
-            # without an agent they end with the hold.
+            # A new agent that has not reached its worker yet. Tasks may still
+            # run there until the hold expires.
             return
-        for end in _of_shard(report.ends, owned.shard):
-            self._take_end(worker, report.boot, end, owned)
-        for attempt in _of_shard(report.attempts, owned.shard):
-            self._take_attempt(worker, report.boot, attempt, owned)
+        for end in _select_shard(report.ends, owned.shard):
+            self._record_end(worker, report.boot, end, owned)
+        for attempt in _select_shard(report.attempts, owned.shard):
+            self._record_attempt(worker, report.boot, attempt, owned)
         self._drop_unlisted(worker, report, owned)
         owned.unreported.discard(worker.agent_id)
 
-    def take_left(self, departed: Departed, owned: OwnedShard) -> None:
-        """Take the last word of an agent on whose worker nothing runs.
+    def handle_departed_agent(
+        self, departed: Departed, owned: OwnedShard
+    ) -> None:
+        """Apply the last message of an agent whose worker runs nothing.
 
-        Unless the former owner had given the shard up by then, the agent is
-        waited for like any other: its next process may have taken orders.
+        If the agent left before the former owner released the shard, it stays
+        unreported: its next process may have received starts since.
         """
         worker, message = departed.worker, departed.message
-        for end in _of_shard(message.ends, owned.shard):
-            self._take_end(worker, message.boot, end, owned)
+        for end in _select_shard(message.ends, owned.shard):
+            self._record_end(worker, message.boot, end, owned)
         for placed in list(worker.placed_by_task.values()):
             if shard_of(placed.name.job_id) == owned.shard:
-                self.record_worker_lost(worker, placed, 'agent left')
-        if owned.former.had_given_up(departed.at):
+                self.record_attempt_lost(worker, placed, 'agent left')
+        if owned.former.had_released(departed.at):
             owned.unreported.discard(worker.agent_id)
 
-    def _take_job(
+    def _apply_report_to_job(
         self,
         worker: Worker,
         report: WorkerReport,
@@ -136,10 +138,10 @@
     ) -> None:
         for end in report.ends:
             if TaskName.from_text(end.task).job_id == job_id:
-                self._take_end(worker, report.boot, end, owned)
+                self._record_end(worker, report.boot, end, owned)
         for attempt in report.attempts:
             if TaskName.from_text(attempt.task).job_id == job_id:
-                self._take_attempt(worker, report.boot, attempt, owned)
+                self._record_attempt(worker, report.boot, attempt, owned)
 
     def _drop_unlisted(
         self,
@@ -155,94 +157,105 @@
         ]
         for task, placed in ordered:
             if placed.boot != report.boot:
-                self.record_worker_lost(worker, placed, 'worker replaced')
+                self.record_attempt_lost(worker, placed, 'worker replaced')
             elif task not in listed and worker.has_received(placed, report):
-                # Its worker may have left the start without an answer.
+                # The worker may not have responded to the start.
                 worker.refused_at = self._clock.now()
-                self.record_worker_lost(worker, placed, 'not listed')
+                self.record_attempt_lost(worker, placed, 'not listed')
 
-    def _take_attempt(
+    def _record_attempt(
         self,
         worker: Worker,
         boot: str,
-        told: AttemptReport,
+        attempt_report: AttemptReport,
         owned: OwnedShard,
     ) -> None:
-        name = TaskName.from_text(told.task)
+        name = TaskName.from_text(attempt_report.task)
         record = owned.by_job.get(name.job_id)
-        if record is None and not self._unknown.is_forgotten(name.job_id):
+        if record is None and not self._unknown_jobs.is_given_up_on(
+            name.job_id
+        ):
             return
-        placed = worker.placed_by_task.get(told.task)
-        if placed is None or placed.number < told.attempt:
-            placed = self._adopt(worker, boot, told, record)
-        elif placed.number == told.attempt:
-            # The incarnation before may have got the order, and this one runs
-            # it: started elsewhere the task would run twice.
+        placed = worker.placed_by_task.get(attempt_report.task)
+        if placed is None or placed.number < attempt_report.attempt:
+            placed = self._adopt(worker, boot, attempt_report, record)
+        elif placed.number == attempt_report.attempt:
+            # The start may have been sent to the worker's previous
+            # incarnation while this one runs the attempt. Starting it
+            # elsewhere would run the task twice.
             placed.boot = boot
         if placed is None or record is None:
             log_event(
                 Event.TASK_STOPPED,
-                task=told.task,
-                attempt=told.attempt,
+                task=attempt_report.task,
+                attempt=attempt_report.attempt,
                 agent=worker.agent_id,
                 why='its job is not known',
             )
-            self._sink.stop(owned, worker, told.task, told.attempt)
+            self._sink.stop(
+                owned, worker, attempt_report.task, attempt_report.attempt
+            )
             return
-        assert worker.report is not None, 'it has told of the attempt'
-        placed.update(told, self._clock.now(), worker.report.silent_ms)
+        assert worker.report is not None, 'the report lists the attempt'
+        placed.update(
+            attempt_report, self._clock.now(), worker.report.silent_ms
+        )
         if placed.observed_ms >= TRIAL_MS and not record.crashes.is_empty:
             self._suspects.record_survival(record, name)
-        record.keep_checkpoint(told.task, told.checkpoint)
-        self._answer(worker, told, placed, owned)
+        record.record_checkpoint(attempt_report.task, attempt_report.checkpoint)
+        self._send_missing_state(worker, attempt_report, placed, owned)
 
-    def _answer(
+    def _send_missing_state(
         self,
         worker: Worker,
-        told: AttemptReport,
+        attempt_report: AttemptReport,
         placed: PlacedAttempt,
         owned: OwnedShard,
     ) -> None:
-        """Tell the agent what it lacks about an attempt."""
-        if not told.is_sized:
-            facts = facts_of(told.task, told.attempt, placed.step)
-            self._sink.tell_facts(worker, facts)
+        """Send the facts or the stop that the agent lacks for an attempt."""
+        if not attempt_report.is_sized:
+            facts = facts_of(
+                attempt_report.task, attempt_report.attempt, placed.step
+            )
+            self._sink.send_task_facts(worker, facts)
         if placed.is_stopping:
-            self._sink.stop(owned, worker, told.task, told.attempt)
+            self._sink.stop(
+                owned, worker, attempt_report.task, attempt_report.attempt
+            )
 
     def _adopt(
         self,
         worker: Worker,
         boot: str,
-        told: AttemptReport,
+        attempt_report: AttemptReport,
         record: JobRecord | None,
     ) -> PlacedAttempt | None:
-        """Take over an attempt that a former owner has started."""
+        """Adopt an attempt that a former owner has started."""
         if record is None:
             return None
-        name = TaskName.from_text(told.task)
-        run = record.run_of(name)
-        record.saw_number(told.task, told.attempt)
+        name = TaskName.from_text(attempt_report.task)
+        run = record.step_run_of(name)
+        record.observe_attempt(attempt_report.task, attempt_report.attempt)
         if run is None:
             return None
-        # An attempt ordered here that this one has replaced is no other one.
-        runs_elsewhere = any(
-            other is not worker for other, _placed in self.places(name)
+        # An older attempt on the same worker is replaced by this one.
+        is_running_elsewhere = any(
+            other is not worker for other, _placed in self.attempts_of(name)
         )
         is_wanted = (
             record.final_state is None
             and not run.is_done_task(name.index)
-            and not runs_elsewhere
+            and not is_running_elsewhere
         )
         placed = PlacedAttempt(
             name,
-            told.attempt,
+            attempt_report.attempt,
             run.step,
             boot,
             0,
             self._clock.now(),
         )
-        worker.placed_by_task[told.task] = placed
+        worker.placed_by_task[attempt_report.task] = placed
         if not is_wanted:
             why = 'another attempt runs, or the task has ended'
             mark_stopping(placed, worker, why)
@@ -252,7 +265,7 @@
                 record.state = JobState.ACTIVE
         return placed
 
-    def _take_end(
+    def _record_end(
         self,
         worker: Worker,
         boot: str,
@@ -262,15 +275,17 @@
         ack = Ack(worker.agent_id, boot, end.number)
         if ack in self._seen_ends:
             if self._seen_ends.must_confirm_again(ack):
-                self._sink.recorded([ack])
+                self._sink.acknowledge_ends([ack])
             return
         name = TaskName.from_text(end.task)
         record = owned.by_job.get(name.job_id)
-        if record is None and not self._unknown.is_forgotten(name.job_id):
+        if record is None and not self._unknown_jobs.is_given_up_on(
+            name.job_id
+        ):
             return
         self._seen_ends.add(ack, owned.shard)
-        if record is None or record.run_of(name) is None:
-            self._sink.recorded([ack])
+        if record is None or record.step_run_of(name) is None:
+            self._sink.acknowledge_ends([ack])
             return
         placed = worker.placed_by_task.get(end.task)
         if placed is not None and placed.number <= end.attempt:
@@ -286,15 +301,15 @@
         worker: Worker,
         owned: OwnedShard,
     ) -> None:
-        run = record.run_of(name)
-        assert run is not None, 'the caller has looked it up'
-        record.keep_checkpoint(end.task, end.checkpoint)
+        run = record.step_run_of(name)
+        assert run is not None, 'checked by the caller'
+        record.record_checkpoint(end.task, end.checkpoint)
         if end.how == AttemptEnd.DONE.value and not run.step.is_keeper:
-            self._take_done(record, run, name, owned)
+            self._record_done(record, run, name, owned)
         elif self._fails_job(record, run, name, end, worker):
             self._sink.stop_job(record)
         if not run.is_done_task(name.index):
-            self._return(run, name)
+            self._requeue(run, name)
             self._break_gang(run, name)
 
     def _fails_job(
@@ -305,9 +320,9 @@
         end: EndReport,
         worker: Worker,
     ) -> bool:
-        """Count an end against its budget; True if that is used up."""
+        """Count an end against its budget; return True if it is exhausted."""
         if end.how == AttemptEnd.FAILED.value:
-            return record.take_failed(name, end.attempt)
+            return record.record_failure(name, end.attempt)
         if end.how not in _CRASHES or run.is_done_task(name.index):
             return False
         if not self._suspects.record_crash(record, name, end, worker):
@@ -315,7 +330,7 @@
         record.final_state = JobState.FAILED
         return True
 
-    def _take_done(
+    def _record_done(
         self,
         record: JobRecord,
         run: StepRun,
@@ -323,22 +338,22 @@
         owned: OwnedShard,
     ) -> None:
         if run.step.is_gang:
-            # The end of one member stands for all.
+            # A gang is done as soon as one member is done.
             for member in record.job.tasks(run.occurrence, run.step_index):
-                record.take_done(member)
+                record.record_done(member)
             return
-        record.take_done(name)
-        for worker, placed in self.places(name):
+        record.record_done(name)
+        for worker, placed in self.attempts_of(name):
             self._stop_placed(worker, placed, owned)
 
     def _break_gang(self, run: StepRun, name: TaskName) -> None:
-        """Stop a gang that has lost a member, before it ends as alone."""
+        """Stop the remaining members of a gang that has lost one."""
         if not run.step.is_gang:
             return
         owned = self._shards.by_shard[shard_of(name.job_id)]
         for index in list(run.running):
             member = TaskName(name.job_id, name.occurrence, name.step, index)
-            for worker, placed in self.places(member):
+            for worker, placed in self.attempts_of(member):
                 self._stop_placed(worker, placed, owned)
 
     def _stop_placed(
@@ -350,14 +365,14 @@
         mark_stopping(placed, worker, 'done elsewhere, or its gang is broken')
         self._sink.stop(owned, worker, str(placed.name), placed.number)
 
-    def record_worker_lost(
+    def record_attempt_lost(
         self, worker: Worker, placed: PlacedAttempt, reason: str
     ) -> None:
-        """An attempt does not run and never will."""
+        """Record that an attempt does not run and will not start later."""
         task = str(placed.name)
         worker.placed_by_task.pop(task, None)
         record = self._shards.record_of(placed.name.job_id)
-        run = record.run_of(placed.name) if record else None
+        run = record.step_run_of(placed.name) if record else None
         now = self._clock.now()
         log_event(
             Event.TASK_LAPSED,
@@ -372,16 +387,16 @@
             report_age_ms=int(now - worker.reported_at),
         )
         if run is not None:
-            self._return(run, placed.name)
+            self._requeue(run, placed.name)
             self._break_gang(run, placed.name)
 
-    def _return(self, run: StepRun, name: TaskName) -> None:
-        """Let a task wait again, unless it runs elsewhere."""
-        if not self.places(name):
-            run.returned(name.index)
+    def _requeue(self, run: StepRun, name: TaskName) -> None:
+        """Mark a task as waiting unless another attempt may run."""
+        if not self.attempts_of(name):
+            run.mark_waiting(name.index)
 
-    def places(self, name: TaskName) -> list[tuple[Worker, PlacedAttempt]]:
-        """Return where attempts of a task may run."""
+    def attempts_of(self, name: TaskName) -> list[tuple[Worker, PlacedAttempt]]:
+        """Return the attempts of a task that may run, with their workers."""
         task = str(name)
         return [
             (worker, worker.placed_by_task[task])
@@ -390,5 +405,5 @@
         ]
 
 
-def _of_shard(told: list[_Told], shard: int) -> list[_Told]:
-    return [each for each in told if shard_of_task(each.task) == shard]
+def _select_shard(reports: list[_TaskReport], shard: int) -> list[_TaskReport]:
+    return [report for report in reports if shard_of_task(report.task) == shard]
--- a/hyssopring/jobs/roster.py
+++ b/hyssopring/jobs/roster.py
@@ -1,4 +1,4 @@
-"""The agents that may hold tasks of a shard, as its next owner reads them."""
+"""The rows of the agents that may run tasks of a shard."""
 
 from dataclasses import replace
 from typing import Callable, Collection, Final, Iterable, Mapping
@@ -7,10 +7,10 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.documents import AgentRow
-from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.roster_entry import RosterEntry
 from hyssopring.jobs.row_keys import agent_key
+from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.rows import (
     Committed,
     Conflict,
@@ -26,26 +26,29 @@
 
 __all__ = ('Roster',)
 
-# A transaction holds at most 100 entries: an agent has two, and one is the
-# owner's check.
+# A transaction holds at most 100 entries: two for each agent, and the owner
+# check.
 _MAX_AGENTS: Final = 45
-# After a failed write nothing is written for this long.
-_REST_MS: Final = 200.0
-# A wait that ends sooner than was written is written again if it saves this.
-_SHORTER_MS: Final = 500.0
+# The pause after a failed write.
+_RETRY_BACKOFF_MS: Final = 200.0
+# A stored expiry is written again if the new one is earlier by this much.
+_MIN_IMPROVEMENT_MS: Final = 500.0
 
 
 class Roster:
     """One row for each agent, written by the shard's owner alone.
 
-    An agent is listed before it is sent its first task, and struck off once
-    nothing there can run any more. A next owner waits for each listed agent
+    An agent is listed before it is sent its first task, and removed once
+    nothing can run there any more. The next owner waits for each listed agent
     that it cannot reach. Two things keep that wait short:
 
-    - The row of an agent that is away says until when. Without it each owner
-      of a series would begin the wait anew.
-    - A lasting task stands in the row of each agent that may run it, before
-      it is sent there. Without it all of them would wait for any lost VM.
+    - The row of an unreachable agent sets the expiry of its grants. Without it
+      each owner in a series would begin the wait anew.
+    - A keeper's task is listed in the row of each agent that may run it before
+      it is sent there. Without it all keepers would wait for any lost VM.
+
+    Attributes:
+        is_known: Whether the stored rows were loaded.
     """
 
     def __init__(
@@ -54,30 +57,30 @@
         store: RowStore,
         shard: int,
         owner_check: RowCheck,
-        reigns: EpochRows,
+        epoch_rows: EpochRows,
         on_written: Callable[[], None],
     ) -> None:
-        """Write under ``owner_check``; ``on_written`` hears of new rows.
+        """Create a roster without rows; call ``load`` before it is used.
 
         Args:
-            clock: Spaces writes that fail.
+            clock: Times the backoff after failed writes.
             store: Holds the rows.
-            shard: The shard.
-            owner_check: Lets the owner of this reign alone write.
-            reigns: Which reigns have kept to the rows.
-            on_written: Called whenever a row says what it is to say.
+            shard: The number of the shard.
+            owner_check: Restricts writes to the owner of this epoch.
+            epoch_rows: The epochs whose owners have kept the rows.
+            on_written: Called after each successful write.
         """
         self.is_known = False
         self._clock = clock
         self._store = store
         self._shard = shard
         self._check = owner_check
-        self._reigns = reigns
+        self._epoch_rows = epoch_rows
         self._on_written = on_written
         self._entry_by_agent: dict[str, RosterEntry] = {}
-        self._odd = RowParser()
+        self._parser = RowParser()
         self._is_writing = False
-        self._rests_until = clock.now()
+        self._backoff_until = clock.now()
 
     @property
     def agents(self) -> tuple[str, ...]:
@@ -91,120 +94,119 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last write has failed a moment ago."""
-        return self._clock.now() < self._rests_until
+        """Whether writes are paused after a failed one."""
+        return self._clock.now() < self._backoff_until
 
-    def loaded(self, rows: Iterable[Row], store_time: StoreClock) -> None:
-        """Take over the stored rows.
+    def load(self, rows: Iterable[Row], store_clock: StoreClock) -> None:
+        """Load the stored rows; a second load is ignored.
 
-        Those of a load that is tried again are left: this owner alone writes
-        rows, and has changed some since, perhaps after they were read.
+        The rows of a retried load may be older than this owner's own writes.
         """
         if self.is_known:
             return
         self.is_known = True
         self._entry_by_agent = {
-            row.row_key.key: self._read(row, store_time) for row in rows
+            row.row_key.key: self._read(row, store_clock) for row in rows
         }
 
     def may_grant(self, agent_id: str) -> bool:
-        """Whether the agent's row lets it be granted."""
+        """Whether an agent's row allows a grant."""
         entry = self._entry_by_agent.get(agent_id)
         return self.is_known and not (entry and entry.may_be_suspended)
 
-    def over_at(self, agent_id: str) -> float | None:
-        """When all that an agent was granted is over, None if not known."""
+    def grant_expires_at(self, agent_id: str) -> float | None:
+        """Return when an agent's grants expire by its row, None if unknown."""
         entry = self._entry_by_agent.get(agent_id)
-        return entry.over_at if entry else None
+        return entry.grant_expires_at if entry else None
 
     def tasks(self, agent_id: str) -> tuple[str, ...]:
-        """Return the lasting tasks that an agent may run."""
+        """Return the keepers' tasks that an agent may run."""
         entry = self._entry_by_agent.get(agent_id)
         return entry.wanted.tasks if entry else ()
 
     def is_located(self, agent_id: str, tasks: Collection[str]) -> bool:
-        """Whether lasting tasks surely stand in an agent's row."""
+        """Whether the stored row of an agent certainly lists tasks."""
         entry = self._entry_by_agent.get(agent_id)
-        return entry is not None and entry.sure_tasks.issuperset(tasks)
+        return entry is not None and entry.certain_tasks.issuperset(tasks)
 
     def add(self, agents: Iterable[str]) -> None:
-        """List agents that are not listed yet."""
+        """Add agents that are not listed yet."""
         for agent_id in agents:
             self._entry_by_agent.setdefault(agent_id, RosterEntry())
         self.write()
 
-    def locate(self, agent_id: str, tasks: Iterable[str]) -> None:
-        """Say which lasting tasks an agent may run."""
+    def set_tasks(self, agent_id: str, tasks: Iterable[str]) -> None:
+        """Set the keepers' tasks that an agent may run."""
         entry = self._entry_by_agent.get(agent_id)
-        told = tuple(sorted(tasks))
-        if entry is not None and entry.wanted.tasks != told:
-            entry.want(replace(entry.wanted, tasks=told))
+        stored = tuple(sorted(tasks))
+        if entry is not None and entry.wanted.tasks != stored:
+            entry.want_row(replace(entry.wanted, tasks=stored))
             self.write()
 
     def set_expiries(
         self,
-        over_at_by_agent: Mapping[str, float],
-        store_time: StoreClock,
+        expiry_by_agent: Mapping[str, float],
+        store_clock: StoreClock,
     ) -> None:
-        """Say of agents that are away when all granted there is over.
+        """Set when the grants of unreachable agents expire.
 
-        They get no grant before ``readmit`` has taken it back.
+        They get no grant before ``clear_expiry`` has removed the expiry.
         """
-        if not store_time.is_known:
+        if not store_clock.is_known:
             return
-        for agent_id, over_at in over_at_by_agent.items():
+        for agent_id, expires_at in expiry_by_agent.items():
             entry = self._entry_by_agent.get(agent_id)
-            over_ms = store_time.latest_reading(over_at)
-            if entry is None or not _is_news(entry.wanted.over_ms, over_ms):
+            over_ms = store_clock.latest_reading(expires_at)
+            if entry is None or not _is_earlier(entry.wanted.over_ms, over_ms):
                 continue
-            told = replace(
-                entry.wanted, over_ms=over_ms, reign=self._reigns.row.reign
+            stored = replace(
+                entry.wanted, over_ms=over_ms, reign=self._epoch_rows.row.reign
             )
-            entry.over_at = over_at
+            entry.grant_expires_at = expires_at
             entry.may_be_suspended = True
-            entry.want(told)
+            entry.want_row(stored)
         self.write()
 
-    def readmit(self, agent_id: str) -> None:
-        """Take back that an agent is away: it is here again."""
+    def clear_expiry(self, agent_id: str) -> None:
+        """Remove the expiry of an agent that is reachable again."""
         entry = self._entry_by_agent.get(agent_id)
         if entry is None or not entry.may_be_suspended:
             return
         if entry.wanted.is_suspended:
-            entry.want(replace(entry.wanted, over_ms=None, reign=0))
+            entry.want_row(replace(entry.wanted, over_ms=None, reign=0))
         self.write()
 
     def remove(self, agent_id: str) -> None:
-        """Take an agent off the list, on which nothing can run any more.
+        """Remove the row of an agent on which nothing can run any more.
 
-        The row's version is checked: a write that is carried out late must
-        not remove the row of an agent that has been listed again since. While
-        rows are being written nothing is struck; the next turn tries again.
+        The check of the row's version keeps a delayed removal from deleting
+        the row of an agent that was listed again since. Nothing is removed
+        while a write is in flight; the next tick retries.
         """
         entry = self._entry_by_agent.get(agent_id)
         if entry is None or entry.is_dirty or self._is_writing:
             return
         self._entry_by_agent.pop(agent_id)
-        place = agent_key(self._shard, agent_id)
-        striking = self._store.commit(
+        row_key = agent_key(self._shard, agent_id)
+        deferred = self._store.commit(
             Transaction(
-                (self._check, RowCheck(place, entry.version)),
+                (self._check, RowCheck(row_key, entry.version)),
                 (),
-                (place,),
+                (row_key,),
             ),
         )
-        striking.addErrback(_retried)
+        deferred.addErrback(_ignore_store_failure)
 
     def write(self) -> None:
-        """Write the rows that do not say what they are to say.
+        """Write the rows that differ from their wanted content.
 
-        One transaction is under way at a time, and each checks the versions:
-        one that is carried out late does not follow its successors.
+        One transaction is in flight at a time. Each checks the versions of its
+        rows, so that a delayed one is not applied after its successors.
         """
         if self._is_writing or self.is_failing or not self.is_known:
             return
-        if self._reigns.is_void:
-            self._reigns.void()
+        if self._epoch_rows.must_retract:
+            self._epoch_rows.invalidate()
             return
         batch = [
             agent_id
@@ -218,81 +220,81 @@
         row_by_agent = {}
         for agent_id in batch:
             entry = self._entry_by_agent[agent_id]
-            place = agent_key(self._shard, agent_id)
-            row_by_agent[agent_id] = entry.sent()
-            checks.append(RowCheck(place, entry.version))
-            puts.append(RowPut(place, row_by_agent[agent_id].to_text()))
-        writing = self._store.commit(Transaction(tuple(checks), tuple(puts)))
-        writing.addCallbacks(
-            self._written,
-            self._unwritten,
+            row_key = agent_key(self._shard, agent_id)
+            row_by_agent[agent_id] = entry.begin_write()
+            checks.append(RowCheck(row_key, entry.version))
+            puts.append(RowPut(row_key, row_by_agent[agent_id].to_text()))
+        deferred = self._store.commit(Transaction(tuple(checks), tuple(puts)))
+        deferred.addCallbacks(
+            self._on_write_done,
+            self._on_write_failed,
             callbackArgs=(row_by_agent,),
             errbackArgs=(row_by_agent,),
         )
 
-    def _read(self, row: Row, store_time: StoreClock) -> RosterEntry:
-        """Read a row; what owners before ``since`` said may be outdated."""
+    def _read(self, row: Row, store_clock: StoreClock) -> RosterEntry:
+        """Parse a row; ignore an expiry that is older than ``since``."""
         entry = RosterEntry(row.version, is_listed=True, is_dirty=False)
-        told = self._odd.parse(AgentRow.from_text, row)
-        if told is None:
-            # It may have listed any task.
-            self._reigns.void()
+        stored = self._parser.parse(AgentRow.from_text, row)
+        if stored is None:
+            # The malformed row may have listed any task.
+            self._epoch_rows.invalidate()
             return entry
-        entry.wanted = told
-        entry.sure_tasks = frozenset(told.tasks)
-        if told.over_ms is None or told.reign < self._reigns.row.since:
-            entry.wanted = replace(told, over_ms=None, reign=0)
+        entry.wanted = stored
+        entry.certain_tasks = frozenset(stored.tasks)
+        if stored.over_ms is None or stored.reign < self._epoch_rows.row.since:
+            entry.wanted = replace(stored, over_ms=None, reign=0)
             return entry
         entry.may_be_suspended = True
-        if store_time.is_known:
-            entry.over_at = store_time.passed_at(told.over_ms)
+        if store_clock.is_known:
+            entry.grant_expires_at = store_clock.passed_at(stored.over_ms)
         return entry
 
-    def _written(
+    def _on_write_done(
         self,
         outcome: Committed | Conflict,
         row_by_agent: Mapping[str, AgentRow],
     ) -> None:
         self._is_writing = False
         if isinstance(outcome, Conflict):
-            self._take_versions(outcome, row_by_agent)
+            self._adopt_versions(outcome, row_by_agent)
         else:
             for agent_id, entry in self._entries(row_by_agent):
-                entry.written(row_by_agent[agent_id], outcome.version)
+                entry.record_write(row_by_agent[agent_id], outcome.version)
             self._on_written()
         self.write()
 
-    def _take_versions(
+    def _adopt_versions(
         self,
         conflict: Conflict,
         agents: Iterable[str],
     ) -> None:
-        """Write again on the versions that a check has found.
+        """Adopt the versions in the store, so that the rows are written again.
 
-        A write without an answer was carried out after all.
+        They differ after a write without a response that was applied.
         """
-        version_by_place = {row.row_key: row.version for row in conflict.rows}
+        version_by_key = {row.row_key: row.version for row in conflict.rows}
         check = self._check
-        if version_by_place.get(check.row_key) != check.version:
-            # Another owner has the shard; the next reading of it tells.
-            self._rests_until = self._clock.now() + _REST_MS
+        if version_by_key.get(check.row_key) != check.version:
+            # Another owner has the shard; the next poll of it detects that.
+            self._backoff_until = self._clock.now() + _RETRY_BACKOFF_MS
         for agent_id, entry in self._entries(agents):
-            place = agent_key(self._shard, agent_id)
-            entry.found(version_by_place.get(place, 0))
+            row_key = agent_key(self._shard, agent_id)
+            entry.record_version(version_by_key.get(row_key, 0))
 
-    def _unwritten(
+    def _on_write_failed(
         self,
         failure: TwistedFailure,
         agents: Iterable[str],
     ) -> None:
-        _retried(failure)
+        _ignore_store_failure(failure)
         self._is_writing = False
-        self._rests_until = self._clock.now() + _REST_MS
+        self._backoff_until = self._clock.now() + _RETRY_BACKOFF_MS
         for _agent_id, entry in self._entries(agents):
             entry.is_dirty = True
 
     def _entries(self, agents: Iterable[str]) -> list[tuple[str, RosterEntry]]:
-        """Return the entries of agents; a new reading may have fewer."""
+        """Return the entries of agents that are still on the roster."""
         return [
             (agent_id, self._entry_by_agent[agent_id])
             for agent_id in agents
@@ -300,14 +302,17 @@
         ]
 
 
-def _is_news(told_ms: float | None, over_ms: float) -> bool:
-    """Whether a row should tell an agent's time.
+def _is_earlier(stored_ms: float | None, over_ms: float) -> bool:
+    """Whether an expiry is enough earlier than the stored one to be written.
 
     It never becomes later: the agent gets no grant once its row is written.
     """
-    return told_ms is None or over_ms < told_ms - _SHORTER_MS
+    return stored_ms is None or over_ms < stored_ms - _MIN_IMPROVEMENT_MS
 
 
-def _retried(failure: TwistedFailure) -> None:
-    """The next turn tries again; what stays listed costs the next owner."""
+def _ignore_store_failure(failure: TwistedFailure) -> None:
+    """Ignore a failed write, which is retried.
+
+    Until then a listed agent only prolongs the next owner's wait.
+    """
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/roster_entry.py
+++ b/hyssopring/jobs/roster_entry.py
@@ -1,4 +1,4 @@
-"""One agent's row, as it may be while a write of it is under way."""
+"""The known and wanted state of one agent's row."""
 
 from dataclasses import dataclass, field
 
@@ -9,53 +9,54 @@
 
 @dataclass(slots=True)
 class RosterEntry:
-    """One agent's row.
+    """One agent's row, also while a write of it is in flight.
 
     Attributes:
-        version: Its version, 0 for none.
-        wanted: What it is to say.
-        sure_tasks: What it surely lists, whichever write is carried out.
-        is_listed: It surely exists.
-        is_dirty: It does not say yet what it is to say.
-        may_be_suspended: It may say that the agent is away.
-        over_at: When all that was granted there is over, by the clock; None
-            if the row does not surely say so.
+        version: The version of the row, 0 for none.
+        wanted: The content to write.
+        certain_tasks: The tasks that it lists whether or not the write in
+            flight is applied.
+        is_listed: Whether it certainly exists.
+        is_dirty: Whether the wanted content must still be written.
+        may_be_suspended: Whether it may set an expiry.
+        grant_expires_at: When the agent's grants expire, by the clock; None
+            if the row does not certainly set an expiry.
     """
 
     version: int = 0
     wanted: AgentRow = field(default_factory=AgentRow)
-    sure_tasks: frozenset[str] = frozenset()
+    certain_tasks: frozenset[str] = frozenset()
     is_listed: bool = False
     is_dirty: bool = True
     may_be_suspended: bool = False
-    over_at: float | None = None
+    grant_expires_at: float | None = None
 
-    def want(self, row: AgentRow) -> None:
-        """Let the row say this from its next write on."""
+    def want_row(self, row: AgentRow) -> None:
+        """Set the content for the next write."""
         self.wanted = row
         self.is_dirty = True
 
-    def sent(self) -> AgentRow:
-        """Note that a write of the wanted row is under way; return it."""
+    def begin_write(self) -> AgentRow:
+        """Record that a write of the wanted row begins, and return the row."""
         self.is_dirty = False
-        self.sure_tasks &= frozenset(self.wanted.tasks)
+        self.certain_tasks &= frozenset(self.wanted.tasks)
         if self.wanted.is_suspended:
             self.may_be_suspended = True
         return self.wanted
 
-    def found(self, version: int) -> None:
-        """Note that the row has another version; 0 that there is none."""
+    def record_version(self, version: int) -> None:
+        """Record another version of the row, 0 if it does not exist."""
         self.version = version
         self.is_dirty = True
         if not version:
             self.is_listed = False
-            self.sure_tasks = frozenset()
+            self.certain_tasks = frozenset()
 
-    def written(self, row: AgentRow, version: int) -> None:
-        """Note that a write was carried out."""
+    def record_write(self, row: AgentRow, version: int) -> None:
+        """Record that a write was applied."""
         self.version = version
         self.is_listed = True
-        self.sure_tasks = frozenset(row.tasks)
+        self.certain_tasks = frozenset(row.tasks)
         if not row.is_suspended:
             self.may_be_suspended = False
-            self.over_at = None
+            self.grant_expires_at = None
--- a/hyssopring/jobs/takeover.py
+++ b/hyssopring/jobs/takeover.py
@@ -1,37 +1,37 @@
-"""What an entry reads of a shard and writes to become its owner."""
+"""The rows that an entry reads and writes to take a shard."""
 
 from dataclasses import dataclass
 from typing import Callable, Final
 
 from hyssopring.jobs.documents import (
     FormerOwnerProcess,
+    FormerOwnersRow,
     OwnerRow,
     RosterRow,
-    FormerOwnersRow,
 )
-from hyssopring.jobs.row_keys import owner_key, roster_key, former_owners_key
+from hyssopring.jobs.row_keys import former_owners_key, owner_key, roster_key
 from hyssopring.jobs.rows import Page, Row, RowCheck, RowPut, Transaction
 
 __all__ = ('Takeover',)
 
-_FIRST_REIGN: Final = 1
+_FIRST_EPOCH: Final = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Takeover:
-    """A shard that may be taken.
+    """A shard that may be taken, as read from its rows.
 
     Attributes:
-        version: The owner row's, 0 for none.
-        former: Its owner, None if it never had one.
-        earlier: Owners before that one that may still act.
-        roster: Who vouches for the agents' rows.
+        version: The version of the owner row, 0 for none.
+        former: The former owner, None if there never was one.
+        earlier_owners: Owners before the former one that may still act.
+        roster: The epochs whose owners have kept the agents' rows.
     """
 
     shard: int
     version: int
     former: OwnerRow | None
-    earlier: tuple[FormerOwnerProcess, ...]
+    earlier_owners: tuple[FormerOwnerProcess, ...]
     roster: RosterRow
 
     @classmethod
@@ -41,74 +41,87 @@
         owner: Row | None,
         page: Page,
     ) -> 'Takeover':
-        """Read the shard's rows beside its owner row."""
-        row_by_place = {row.row_key: row for row in page.rows}
-        wait = row_by_place.get(former_owners_key(shard))
+        """Read the shard's rows next to its owner row."""
+        row_by_key = {row.row_key: row for row in page.rows}
+        former_row = row_by_key.get(former_owners_key(shard))
         return cls(
             shard,
             owner.version if owner else 0,
             OwnerRow.from_row(owner) if owner else None,
-            FormerOwnersRow.from_row(wait).reigns if wait else (),
-            RosterRow.from_row(row_by_place.get(roster_key(shard))),
+            FormerOwnersRow.from_row(former_row).reigns if former_row else (),
+            RosterRow.from_row(row_by_key.get(roster_key(shard))),
         )
 
     @property
     def next_roster(self) -> RosterRow:
-        """Who vouches for the agents' rows once the shard is taken."""
+        """The roster row to write with the takeover."""
         return self.roster.next(self.former.reign if self.former else 0)
 
     @property
-    def reign(self) -> int:
-        """The reign of whoever takes the shard."""
-        return self.former.reign + 1 if self.former else _FIRST_REIGN
+    def epoch(self) -> int:
+        """The epoch that the takeover begins."""
+        return self.former.reign + 1 if self.former else _FIRST_EPOCH
 
-    def silent(
+    def unconfirmed_owner(
         self,
         is_dead: Callable[[FormerOwnerProcess], bool],
     ) -> FormerOwnerProcess | None:
-        """Return the former owner if it may still order.
+        """Return the former owner if it may still send orders.
 
-        It orders nothing more once it has given the shard up, or another
-        process has followed it under its entry's name. One that is only
-        silent may be frozen or cut off.
+        It sends none after it has released the shard or was replaced by
+        another process of its entry. One whose row is merely not renewed may
+        be frozen or partitioned.
         """
         former = self.former
         if former is None or not former.entry_id:
             return None
-        reign = FormerOwnerProcess(
+        process = FormerOwnerProcess(
             former.entry_id, former.incarnation, self.version
         )
-        return None if is_dead(reign) else reign
+        return None if is_dead(process) else process
 
-    def in_doubt(
+    def unconfirmed_owners(
         self,
         is_dead: Callable[[FormerOwnerProcess], bool],
     ) -> tuple[FormerOwnerProcess, ...]:
-        """Return all former owners that may still order.
+        """Return all former owners that may still send orders.
 
-        Without the earlier ones the next owner would wait too little for one
-        before its former one that was silent and then wakes.
+        The earlier ones are included, as each of them may wake up later than
+        the former owner.
         """
-        earlier = tuple(each for each in self.earlier if not is_dead(each))
-        silent = self.silent(is_dead)
-        return earlier if silent is None else (*earlier, silent)
+        earlier_owners = tuple(
+            process for process in self.earlier_owners if not is_dead(process)
+        )
+        unconfirmed_owner = self.unconfirmed_owner(is_dead)
+        return (
+            earlier_owners
+            if unconfirmed_owner is None
+            else (*earlier_owners, unconfirmed_owner)
+        )
 
     def transaction(
         self,
         owner: OwnerRow,
-        in_doubt: tuple[FormerOwnerProcess, ...],
+        unconfirmed: tuple[FormerOwnerProcess, ...],
     ) -> Transaction:
-        """Return what takes the shard for an owner."""
-        place = owner_key(self.shard)
+        """Return the transaction that makes ``owner`` the owner.
+
+        Args:
+            owner: The new owner row.
+            unconfirmed: Former owners that may still send orders.
+        """
+        row_key = owner_key(self.shard)
         puts = [
-            RowPut(place, owner.to_text()),
+            RowPut(row_key, owner.to_text()),
             RowPut(roster_key(self.shard), self.next_roster.to_text()),
         ]
         removals = []
-        if in_doubt:
-            wait = FormerOwnersRow(in_doubt)
-            puts.append(RowPut(former_owners_key(self.shard), wait.to_text()))
+        if unconfirmed:
+            former_row = FormerOwnersRow(unconfirmed)
+            puts.append(
+                RowPut(former_owners_key(self.shard), former_row.to_text())
+            )
         else:
             removals.append(former_owners_key(self.shard))
-        check = RowCheck(place, self.version)
+        check = RowCheck(row_key, self.version)
         return Transaction((check,), tuple(puts), tuple(removals))
--- a/hyssopring/jobs/unknown_jobs.py
+++ b/hyssopring/jobs/unknown_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that agents tell of and that the owner of their shard does not know."""
+"""Jobs in agents' reports that the owner of their shard does not know."""
 
 from typing import Final
 
@@ -7,37 +7,40 @@
 
 __all__ = ('UnknownJobs',)
 
-_KEPT: Final = 1000
-# A job that an agent knows and the shard does not is found by a poll within a
-# second or two of the store's answering; outages last up to nine.
-_UNKNOWN_MS: Final = 15_000.0
+_MAX_JOBS: Final = 1000
+# A poll finds such a job within a second or two once the store responds;
+# outages of the store last up to 9 s.
+_LOOKUP_TIMEOUT_MS: Final = 15_000.0
 
 
 class UnknownJobs:
-    """Since when each is waited for."""
+    """Tracks since when each unknown job has been reported."""
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without any."""
+        """Create a collection without jobs."""
         self._clock = clock
         self._since_by_job: dict[str, float] = {}
 
-    def is_forgotten(self, job_id: str) -> bool:
-        """Whether a job that is told of now will not be found any more."""
+    def is_given_up_on(self, job_id: str) -> bool:
+        """Whether a reported job was unknown for too long to be found.
+
+        The first call for a job starts its timeout.
+        """
         now = self._clock.now()
         since = self._since_by_job.setdefault(job_id, now)
-        if len(self._since_by_job) > _KEPT:
+        if len(self._since_by_job) > _MAX_JOBS:
             self._since_by_job.pop(next(iter(self._since_by_job)))
-        return now - since > _UNKNOWN_MS
+        return now - since > _LOOKUP_TIMEOUT_MS
 
-    def found(self, job_id: str) -> bool:
-        """A job is known now; tell whether it was waited for."""
+    def resolve(self, job_id: str) -> bool:
+        """Remove a job that is known now; return whether it was unknown."""
         return self._since_by_job.pop(job_id, None) is not None
 
     def forget(self, shard: int) -> None:
-        """A shard is lost: its jobs have their whole time again.
+        """Restart the timeouts of the jobs of a shard that was lost.
 
-        Counted from the former reign, their tasks would be stopped and their
-        ends dropped before the rows are read under a new one.
+        Timeouts that began under the former epoch would stop tasks and drop
+        ends before the rows are read under a new one.
         """
         self._since_by_job = {
             job_id: since
--- a/standins/jobs/moving_days.py
+++ b/standins/jobs/moving_days.py
@@ -311,13 +311,13 @@
         acquired(taken)
         owned = entry.core.owner.shards.by_shard[taken.shard]
         owned.roster._store = _Old(store, old_commit)
-        owned.roster._reigns._store = _Old(store, old_commit)
+        owned.roster._epoch_rows._store = _Old(store, old_commit)
         owned.roster.may_grant = lambda _agent: True
         owned.roster.set_expiries = lambda *_given: None
         owned.locations.locate = lambda *_given: True
         owned.locations.update = lambda *_given: None
         owned.locations.possible_agents = lambda _task, unheard: unheard
-        owned._absences.grant_expires_at = owned.former.until
+        owned._absences.grant_expires_at = owned.former.grant_expires_at
 
     entry.membership.on_acquired = on_acquired
 
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -192,7 +192,7 @@
     core = owner.core
     for worker in core.fleet.by_agent.values():
         for placed in list(worker.placed_by_task.values()):
-            core.owner._reader.record_worker_lost(
+            core.owner._reconciler.record_attempt_lost(
                 worker, placed, 'a wrong belief'
             )
     core.owner._planner._plan()
--- a/tests/test_jobs_former_owners.py
+++ b/tests/test_jobs_former_owners.py
@@ -180,7 +180,7 @@
     desk = former.core.job_api
     job = a_job(steps=((1, ()),))
     notices = []
-    desk._tell_owner = lambda shard, message: notices.append(message)
+    desk._send_to_owner = lambda shard, message: notices.append(message)
     deployment.submit(job, former.name)
     deployment.run(0.1)
     former.core.handle_message(notices[0], successor.name)
@@ -242,7 +242,7 @@
     core = former.core
     owned = core.owner.shards.by_shard[0]
     job = a_job(steps=((1, ()),))
-    core.job_api._deliver = lambda row: None
+    core.job_api._notify_owner = lambda row: None
     read_one, refused = owned._reader._store.read_one, []
 
     def refuse_once(place):
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -76,12 +76,12 @@
     taken = AcquiredShard(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
     former = FormerOwner(clock, taken)
     told = ShardReleased(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
-    former.gave_up(told, 0)
+    former.record_release(told, 0)
     clock.advance(8335)
-    assert former.until('not-heard') < clock.now()
-    assert former.until('heard') >= clock.now()
+    assert former.grant_expires_at('not-heard') < clock.now()
+    assert former.grant_expires_at('heard') >= clock.now()
     clock.advance(20)
-    assert former.until('heard') < clock.now()
+    assert former.grant_expires_at('heard') < clock.now()
 
 
 def test_an_owner_row_is_a_sign_of_life_of_its_entry():
--- a/tests/test_jobs_owners.py
+++ b/tests/test_jobs_owners.py
@@ -151,7 +151,7 @@
     job = a_job(steps=((1, ()),), attempts=2)
     deployment.submit(job)
     owner = deployment.entries[deployment.owner]
-    owner.core.owner.recorded = lambda acks: None
+    owner.core.owner.acknowledge_ends = lambda acks: None
     for owned in owner.core.owner.shards.by_shard.values():
         owned._writer._on_acks = lambda acks: None
     deployment.run(1.3)
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -244,7 +244,7 @@
     deployment.run(1)
     core, owned, record = forget_job(deployment, job)
     deployment.run(1)
-    core.owner._reader.forget(0)
+    core.owner._reconciler.forget(0)
     deployment.run(15)
     owned.add(JobRow(record.job, record.accepted_ms), is_inherited=True)
     deployment.run(1)
--- a/tests/test_jobs_unheard_grants.py
+++ b/tests/test_jobs_unheard_grants.py
@@ -178,5 +178,5 @@
     deployment.run(0.03)
     deployment.cut_off(LATE)
     owned = run_until_loaded(deployment)
-    assert owned.roster.over_at(LATE) is None
+    assert owned.roster.grant_expires_at(LATE) is None
     deployment.run(GRANT_EXPIRY_MS / 1000 + 10)
