--- a/hyssopring/jobs/absences.py
+++ b/hyssopring/jobs/absences.py
@@ -56,15 +56,15 @@
             fleet: The agents known to this entry.
             unreported: Agents that may still run tasks of former owners.
         """
-        now = self._clock.now()
+        now_ms = self._clock.now()
         if not self._former.may_act:
             self._epoch_rows.clear_wait()
         for agent_id in self._roster.agents:
             if agent_id not in unreported and fleet.is_certainly_idle(agent_id):
-                self._remove_from_roster(agent_id, now)
-        self._write_expiries(fleet, now)
+                self._remove_from_roster(agent_id, now_ms)
+        self._write_expiries(fleet, now_ms)
 
-    def _remove_from_roster(self, agent_id: str, now: float) -> None:
+    def _remove_from_roster(self, agent_id: str, now_ms: float) -> None:
         """Remove an agent from the roster unless it may have a grant.
 
         A former owner that may still act may grant unreachable agents or their
@@ -72,23 +72,23 @@
         """
         stored_expires_at = self._roster.grant_expires_at(agent_id)
         if not self._former.may_act or (
-            stored_expires_at is not None and stored_expires_at < now
+            stored_expires_at is not None and stored_expires_at < now_ms
         ):
             self._roster.remove(agent_id)
 
-    def _write_expiries(self, fleet: Fleet, now: float) -> None:
+    def _write_expiries(self, fleet: Fleet, now_ms: float) -> None:
         expiry_by_agent = {}
         for agent_id in self._roster.agents:
             unreachable_since = fleet.unreachable_since(agent_id)
             if (
                 unreachable_since is None
-                or now - unreachable_since < _MIN_ABSENCE_MS
+                or now_ms - unreachable_since < _MIN_ABSENCE_MS
             ):
                 continue
             expires_at = max(
                 self.grant_expires_at(agent_id),
                 fleet.grant_expires_at(agent_id),
             )
-            if expires_at > now:
+            if expires_at > now_ms:
                 expiry_by_agent[agent_id] = expires_at
         self._roster.set_expiries(expiry_by_agent, self._store_clock)
--- a/hyssopring/jobs/agent_leases.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -37,9 +37,9 @@
             return True
         return lease.epoch == epoch and lease.entry_id == entry_id
 
-    def note_report_sent(self, sequence: int, now: float) -> None:
+    def note_report_sent(self, sequence: int, now_ms: float) -> None:
         """Record when a report was sent; a grant for it counts from then."""
-        self._sent_at_by_sequence[sequence] = now
+        self._sent_at_by_sequence[sequence] = now_ms
         if len(self._sent_at_by_sequence) > _MAX_UNACKNOWLEDGED:
             self._sent_at_by_sequence.pop(next(iter(self._sent_at_by_sequence)))
 
@@ -100,6 +100,6 @@
         lease = self._lease_by_shard.get(shard)
         return lease.epoch if lease else 0
 
-    def is_due(self, now: float, last_report_at: float) -> bool:
+    def is_due(self, now_ms: float, last_report_at: float) -> bool:
         """Whether the regular report is due."""
-        return now - last_report_at >= REPORT_MS
+        return now_ms - last_report_at >= REPORT_MS
--- a/hyssopring/jobs/end_table.py
+++ b/hyssopring/jobs/end_table.py
@@ -63,7 +63,7 @@
         self,
         past: PastIncarnation,
         attempts: Collection[Attempt],
-        now: float,
+        now_ms: float,
     ) -> None:
         """Add the ends of attempts whose start may have crashed a worker.
 
@@ -84,7 +84,7 @@
             started=' '.join(
                 f'{suspect.task}/{suspect.number}' for suspect in suspects
             ),
-            silent_ms=int(now - past.heard_at),
+            silent_ms=int(now_ms - past.heard_at),
         )
 
     def skip(self, number: int) -> None:
--- a/hyssopring/jobs/entry_membership.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -147,10 +147,10 @@
         """Stop taking shards."""
         self._is_stopping = True
 
-    def release(self, shard: int, version: int, reign: int) -> Any:
+    def release(self, shard: int, version: int, epoch: int) -> Any:
         """Release a shard, so that another entry can take it at once."""
         row_key = owner_key(shard)
-        released = OwnerRow('', '', reign)
+        released = OwnerRow('', '', epoch)
         deferred = self._store.commit(
             Transaction(
                 (RowCheck(row_key, version),),
@@ -222,13 +222,13 @@
         failure.trap(StoreRefused, StoreUncertain, MalformedRowError)
 
     def _on_entry_rows(self, page: Page) -> None:
-        now = self._clock.now()
+        now_ms = self._clock.now()
         for row in self._peers.read(page.rows):
             self._remove_stale_row(row)
         self.on_entries()
         if not self._is_stopping:
-            self._release_to_stronger(now)
-            self._take_free_shards(now)
+            self._release_to_stronger(now_ms)
+            self._take_free_shards(now_ms)
 
     def _remove_stale_row(self, row: Row) -> None:
         """Remove the row of an entry that has been dead for long."""
@@ -239,7 +239,7 @@
         )
         deferred.addErrback(self._ignore_store_failure)
 
-    def _take_free_shards(self, now: float) -> None:
+    def _take_free_shards(self, now_ms: float) -> None:
         """Start takeovers of the shards that no live entry claims."""
         if self._renewed_at is None:
             # Before its first renewal other entries cannot tell this process
@@ -249,7 +249,7 @@
             if shard in self.owned() or self._peers.owner_of(shard):
                 self._free_since.pop(shard, None)
             elif shard not in self._pending_takeovers:
-                self._free_since.setdefault(shard, now)
+                self._free_since.setdefault(shard, now_ms)
                 self._pending_takeovers.add(shard)
                 self._start_takeover(shard)
 
@@ -268,12 +268,12 @@
         position = ranked.index(self._entry_id)
         return (position - shard) % len(ranked)
 
-    def _release_to_stronger(self, now: float) -> None:
+    def _release_to_stronger(self, now_ms: float) -> None:
         """Release all shards if an entry has far more processor time."""
         strongest = max(self._peers.live_cores().values(), default=0)
         is_weak = strongest > _RELEASE_CORES_RATIO * self._cores
-        if is_weak and self.owned() and now > self._next_release_at:
-            self._next_release_at = now + _RELEASE_INTERVAL_MS
+        if is_weak and self.owned() and now_ms > self._next_release_at:
+            self._next_release_at = now_ms + _RELEASE_INTERVAL_MS
             self.on_release_requested()
 
     def _start_takeover(self, shard: int) -> None:
@@ -293,9 +293,9 @@
         is_live = self._peers.is_owner_live(former, version)
         if is_live is not None:
             return is_live
-        now = self._clock.now()
-        since = self._unknown_owner_since.setdefault(version, now)
-        return now - since < ENTRY_SILENT_MS
+        now_ms = self._clock.now()
+        since = self._unknown_owner_since.setdefault(version, now_ms)
+        return now_ms - since < ENTRY_SILENT_MS
 
     def _is_first_in_line(self, shard: int, former: OwnerRow | None) -> bool:
         """Whether this entry may take a free shard now.
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -113,11 +113,11 @@
         """
         if self.is_over:
             return
-        now = self._clock.now()
-        self._retain_unconfirmed(lambda process: not is_dead(process), now)
+        now_ms = self._clock.now()
+        self._retain_unconfirmed(lambda process: not is_dead(process), now_ms)
         if self.is_over:
             # The last grants were sent before the owners were found dead.
-            self._wait_until = min(self._wait_until, now + GRANT_EXPIRY_MS)
+            self._wait_until = min(self._wait_until, now_ms + GRANT_EXPIRY_MS)
             self._acts_until = self._wait_until
 
     def _retain_unconfirmed(
--- a/hyssopring/jobs/handover.py
+++ b/hyssopring/jobs/handover.py
@@ -9,7 +9,7 @@
 
 
 def release_message(
-    owned: OwnedShard, fleet: Fleet, now: float
+    owned: OwnedShard, fleet: Fleet, now_ms: float
 ) -> ShardReleased:
     """Return the message about a shard that this entry has just dropped.
 
@@ -32,10 +32,10 @@
             owned.former.grant_expires_at(agent_id),
             fleet.grant_expires_at(agent_id),
         )
-        if expires_at > now:
+        if expires_at > now_ms:
             expiry_by_agent[agent_id] = expires_at
     grants = [
-        AgentGrant(agent_id, int(now + GRANT_EXPIRY_MS - expires_at))
+        AgentGrant(agent_id, int(now_ms + GRANT_EXPIRY_MS - expires_at))
         for agent_id, expires_at in expiry_by_agent.items()
     ]
     wait_ms = int(owned.former.wait_ms)
@@ -52,9 +52,9 @@
         """Create a collection without messages."""
         self._by_shard: dict[int, tuple[ShardReleased, float]] = {}
 
-    def handle_message(self, message: ShardReleased, now: float) -> None:
+    def handle_message(self, message: ShardReleased, now_ms: float) -> None:
         """Store a message of a former owner, received now."""
-        self._by_shard[message.shard] = (message, now)
+        self._by_shard[message.shard] = (message, now_ms)
 
     def apply_to(self, owned: OwnedShard, fleet: Fleet) -> None:
         """Apply the former owner's message, if any, to an owned shard.
--- a/hyssopring/jobs/job_api.py
+++ b/hyssopring/jobs/job_api.py
@@ -89,9 +89,13 @@
             still be stored.
         """
         seconds = (until_ms - self._clock.now()) / MILLIS_PER_SECOND
-        late = Failure(ErrorKind.OUTCOME_UNKNOWN, 'the store is too slow')
+        timeout_failure = Failure(
+            ErrorKind.OUTCOME_UNKNOWN, 'the store is too slow'
+        )
         submitting = self._submit(job, until_ms)
-        return answer_by(self._reactor, submitting, seconds, Err(late))
+        return answer_by(
+            self._reactor, submitting, seconds, Err(timeout_failure)
+        )
 
     @inlineCallbacks
     def _submit(self, job: Job, until_ms: float) -> Any:
@@ -159,8 +163,11 @@
             be too low.
         """
         cached = self._pending_by_queue.get(queue)
-        now = self._clock.now()
-        if cached is not None and now - cached.counted_at < _PENDING_MAX_AGE_MS:
+        now_ms = self._clock.now()
+        if (
+            cached is not None
+            and now_ms - cached.counted_at < _PENDING_MAX_AGE_MS
+        ):
             return Ok(cached.waiting)
         waiting = self._shards.count_queued(queue)
         missing = set(range(SHARD_COUNT)) - set(self._shards.loaded_shards())
@@ -170,13 +177,13 @@
 
         owners = {self._membership.owner_of(shard) for shard in missing}
         for entry_id in owners:
-            answer = yield self._requests.ask(entry_id, build_request)
-            if answer is not None:
-                waiting += answer.waiting
-                missing -= set(answer.shards)
+            response = yield self._requests.ask(entry_id, build_request)
+            if response is not None:
+                waiting += response.waiting
+                missing -= set(response.shards)
         if missing:
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, 'no owner counts'))
-        self._pending_by_queue[queue] = _PendingCount(waiting, now)
+        self._pending_by_queue[queue] = _PendingCount(waiting, now_ms)
         return Ok(waiting)
 
     @inlineCallbacks
@@ -189,19 +196,19 @@
         Returns:
             A deferred ``Result`` with the outcome.
         """
-        unconfirmed: Failure | None = None
+        unknown_outcome: Failure | None = None
         while True:
             try:
                 outcome = yield self._store.commit(transaction)
             except StoreUncertain as error:
-                unconfirmed = _unavailable(error)
+                unknown_outcome = _unavailable(error)
             except StoreRefused as error:
-                if unconfirmed is None:
+                if unknown_outcome is None:
                     return Err(_unavailable(error))
             else:
                 return Ok(outcome)
             if self._clock.now() >= until_ms:
-                return Err(unconfirmed)
+                return Err(unknown_outcome)
             yield _retry_delay(self._reactor)
 
     def _notify_owner(self, row: JobRow) -> None:
@@ -220,18 +227,18 @@
     @inlineCallbacks
     def _request_state(self, job_id: str) -> Any:
         entry_id = self._membership.owner_of(shard_of(job_id))
-        answer = yield self._requests.ask(
+        response = yield self._requests.ask(
             entry_id,
             lambda number: JobStateRequest(number, job_id),
         )
-        if answer is None or not answer.state:
+        if response is None or not response.state:
             return None
-        return JobState(answer.state)
+        return JobState(response.state)
 
     @inlineCallbacks
-    def _read_all(self, *places: RowKey) -> Any:
+    def _read_all(self, *row_keys: RowKey) -> Any:
         rows = []
-        for row_key in places:
+        for row_key in row_keys:
             row = yield self._store.read_one(row_key)
             rows.append(row)
         return rows
@@ -251,14 +258,16 @@
         if row is None:
             return Ok(None)
         try:
-            cached = ProgressRow.from_text(progress.text) if progress else None
+            stored_progress = (
+                ProgressRow.from_text(progress.text) if progress else None
+            )
         except MalformedRowError as error:
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, str(error)))
-        if cached is not None and cached.state:
-            return Ok(JobState(cached.state))
+        if stored_progress is not None and stored_progress.state:
+            return Ok(JobState(stored_progress.state))
         if cancelled is not None:
             return Ok(JobState.CANCELLED)
-        return Ok(JobState.ACTIVE if cached else JobState.QUEUED)
+        return Ok(JobState.ACTIVE if stored_progress else JobState.QUEUED)
 
 
 def _unavailable(error: Exception) -> Failure:
--- a/hyssopring/jobs/job_record.py
+++ b/hyssopring/jobs/job_record.py
@@ -220,14 +220,14 @@
             if run.waiting and self._are_predecessors_done(run):
                 yield run
 
-    def idle_ms(self, now: float) -> float:
+    def idle_ms(self, now_ms: float) -> float:
         """Return for how long tasks have waited while none of the job runs."""
         if any(run.running for run in self.step_runs.values()):
             self.idle_since = None
             return 0
         if self.idle_since is None:
-            self.idle_since = now
-        return now - self.idle_since
+            self.idle_since = now_ms
+        return now_ms - self.idle_since
 
     def work_left(self) -> float:
         """Return the estimated CPU work of tasks that are not done.
--- a/hyssopring/jobs/locations.py
+++ b/hyssopring/jobs/locations.py
@@ -85,10 +85,10 @@
                 change.
             has_unreported: Whether some agent has not reported yet.
         """
-        now = self._clock.now()
-        if now - self._updated_at < _UPDATE_INTERVAL_MS:
+        now_ms = self._clock.now()
+        if now_ms - self._updated_at < _UPDATE_INTERVAL_MS:
             return
-        self._updated_at = now
+        self._updated_at = now_ms
         agent_by_task = self._running(fleet)
         is_all_located = True
         for worker in fleet.by_agent.values():
--- a/hyssopring/jobs/owned_shard.py
+++ b/hyssopring/jobs/owned_shard.py
@@ -208,12 +208,12 @@
         Args:
             fleet: The agents known to this entry.
         """
-        now = self._clock.now()
+        now_ms = self._clock.now()
         # An agent may have a grant of this epoch before its first report.
         self.unreported = {
             agent_id
             for agent_id in self.unreported
-            if now
+            if now_ms
             <= max(
                 self._absences.grant_expires_at(agent_id),
                 fleet.grant_expires_at(agent_id),
@@ -332,9 +332,9 @@
         if not ended:
             return
         removals = [
-            place
+            row_key
             for job_id in ended
-            for place in (
+            for row_key in (
                 job_key(job_id),
                 cancel_key(job_id),
                 progress_key(job_id),
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -171,8 +171,8 @@
         self._reconciler.mark_durable(acks)
         numbers_by_boot: dict[tuple[str, str], list[int]] = {}
         for ack in acks:
-            place = (ack.agent_id, ack.boot)
-            numbers_by_boot.setdefault(place, []).append(ack.number)
+            incarnation = (ack.agent_id, ack.boot)
+            numbers_by_boot.setdefault(incarnation, []).append(ack.number)
         for (agent_id, boot), numbers in numbers_by_boot.items():
             self._send(agent_id, EndsRecorded(boot, numbers))
 
@@ -195,16 +195,16 @@
         )
 
     @handle_message.register
-    def _handle_report(self, message: WorkerReport, worker: Worker) -> None:
+    def _handle_report(self, report: WorkerReport, worker: Worker) -> None:
         suspects = self._suspects
-        suspects.worker_crashes.record_report(worker, message, suspects.agents)
-        worker.report = message
+        suspects.worker_crashes.record_report(worker, report, suspects.agents)
+        worker.report = report
         worker.reported_at = self._clock.now()
-        acknowledged_shards = self.shards.shards_acknowledged_in(message)
+        acknowledged_shards = self.shards.shards_acknowledged_in(report)
         if self.shards.by_shard and self._may_act():
-            self._grant(message, worker)
-            is_counted = message.connection == worker.connection
-            if not is_counted or acknowledged_shards != set(
+            self._grant(report, worker)
+            is_current_connection = report.connection == worker.connection
+            if not is_current_connection or acknowledged_shards != set(
                 self.shards.by_shard
             ):
                 self._request_report(worker)
@@ -212,7 +212,7 @@
             owned = self.shards.by_shard[shard]
             self._record_first_report(worker, owned)
             if owned.is_loaded:
-                self._reconciler.reconcile(worker, message, owned)
+                self._reconciler.reconcile(worker, report, owned)
             else:
                 # Applied with the next report, once the jobs are loaded.
                 worker.reported_at = 0
@@ -264,7 +264,7 @@
 
     def tick(self) -> None:
         """Start due occurrences, expire attempts; call a few times a second."""
-        now = self._clock.now()
+        now_ms = self._clock.now()
         for record in self.shards.live_jobs():
             record.open_due_occurrences(self._wall_ms())
         self._moves.evacuate()
@@ -274,15 +274,15 @@
             )
             self._moves.relieve(candidates)
         if self._stalls.record_tick():
-            self._expire_lost_attempts(now)
+            self._expire_lost_attempts(now_ms)
         self._add_to_roster()
         self._advice.check()
         self.waits.check()
         self.schedule_planning()
 
-    def _expire_lost_attempts(self, now: float) -> None:
+    def _expire_lost_attempts(self, now_ms: float) -> None:
         for worker in self._fleet.by_agent.values():
-            if worker.placed_by_task and self._is_lost(worker, now):
+            if worker.placed_by_task and self._is_lost(worker, now_ms):
                 for placed in list(worker.placed_by_task.values()):
                     self._reconciler.record_attempt_lost(
                         worker, placed, 'lapsed'
@@ -291,7 +291,7 @@
             owned.tick(self._fleet)
         self._fleet.forget_lost()
 
-    def _is_lost(self, worker: Worker, now: float) -> bool:
+    def _is_lost(self, worker: Worker, now_ms: float) -> bool:
         """Whether no attempt on a worker can still run.
 
         A disconnected agent may have been restarted and reach a former owner
@@ -302,7 +302,9 @@
             owned.former.may_act for owned in self.shards.by_shard.values()
         )
         is_disconnected = not worker.is_connected
-        return worker.is_lost(now) and not (is_disconnected and may_former_act)
+        return worker.is_lost(now_ms) and not (
+            is_disconnected and may_former_act
+        )
 
     def _add_to_roster(self) -> None:
         """Add agents to the rosters before tasks are sent to them."""
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -373,7 +373,7 @@
         worker.placed_by_task.pop(task, None)
         record = self._shards.record_of(placed.name.job_id)
         run = record.step_run_of(placed.name) if record else None
-        now = self._clock.now()
+        now_ms = self._clock.now()
         log_event(
             Event.TASK_LAPSED,
             task=task,
@@ -383,8 +383,8 @@
             boot=placed.boot,
             present=worker.boot,
             order=placed.start_index,
-            grant_age_ms=int(now - worker.granted_at),
-            report_age_ms=int(now - worker.reported_at),
+            grant_age_ms=int(now_ms - worker.granted_at),
+            report_age_ms=int(now_ms - worker.reported_at),
         )
         if run is not None:
             self._requeue(run, placed.name)
--- a/hyssopring/jobs/unknown_jobs.py
+++ b/hyssopring/jobs/unknown_jobs.py
@@ -26,11 +26,11 @@
 
         The first call for a job starts its timeout.
         """
-        now = self._clock.now()
-        since = self._since_by_job.setdefault(job_id, now)
+        now_ms = self._clock.now()
+        since = self._since_by_job.setdefault(job_id, now_ms)
         if len(self._since_by_job) > _MAX_JOBS:
             self._since_by_job.pop(next(iter(self._since_by_job)))
-        return now - since > _LOOKUP_TIMEOUT_MS
+        return now_ms - since > _LOOKUP_TIMEOUT_MS
 
     def resolve(self, job_id: str) -> bool:
         """Remove a job that is known now; return whether it was unknown."""
