--- a/tests/owner_support.py
+++ b/tests/owner_support.py
@@ -1,4 +1,4 @@
-"""A deployment of three workers whose owner is to be followed."""
+"""Helpers for tests in which the owner of a shard changes."""
 
 from standins.jobs.deployment import Deployment, a_job, settled
 
@@ -7,8 +7,8 @@
 PATIENCE = 2000
 
 
-def three(entries=2):
-    """Three workers, the owner, and an entry that is to take over."""
+def deploy_three_workers(entries=2):
+    """Return a deployment of three workers, its owner, and other entries."""
     deployment = settled(
         Deployment(workers=3, entries=entries, work_ms=lambda task: LONG_MS)
     )
@@ -19,15 +19,15 @@
     return deployment, former, others
 
 
-def busy(deployment):
-    """The number of a worker that runs something."""
+def busy_worker(deployment):
+    """Return the number of a worker that runs a task."""
     return next(
         number for number, each in enumerate(deployment.workers) if each.runs
     )
 
 
-def idle(deployment):
-    """The number of a worker that runs nothing."""
+def idle_worker(deployment):
+    """Return the number of a worker that runs nothing."""
     return next(
         number
         for number, each in enumerate(deployment.workers)
@@ -36,21 +36,21 @@
 
 
 def run_until_taken(deployment, entries):
-    """Go on until one of the entries owns the shard, and return it."""
-    for _each in range(PATIENCE):
+    """Run until one of the entries owns the shard, and return it."""
+    for _step in range(PATIENCE):
         for entry in entries:
             if entry.core.owner.shards.by_shard:
                 return entry
         deployment.run(STEP_S)
-    raise AssertionError('nobody has taken the shard')
+    raise AssertionError('no entry has taken the shard')
 
 
-def silence(entry):
-    """The entry's row is not renewed any more; it goes on otherwise."""
+def stop_renewals(entry):
+    """Stop the renewals of an entry's row; it goes on otherwise."""
     entry.membership.renew = lambda: None
 
 
-def start_one(deployment, entry, count=1):
+def start_job(deployment, entry, count=1):
     job = a_job(steps=((count, ()),), max_per_worker=1)
     deployment.submit(job, entry.name)
     deployment.run(1)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,8 +1,8 @@
 """Jobs through entries, agents and workers in virtual time, under failures.
 
-The book of the stand-in workers asserts all the while that no task runs
-twice at once, that none starts after its end was noted, and that no worker
-holds more than its room.
+In all tests the simulated workers' record asserts that no task runs twice at
+once, that none starts after its end was recorded, and that no worker exceeds
+its capacity.
 """
 
 from dataclasses import replace
@@ -28,18 +28,20 @@
 
 def test_first_start_follows_the_acceptance_within_a_tenth_of_a_second():
     deployment = settled()
-    handed_in = deployment.reactor.seconds()
+    submitted_at = deployment.reactor.seconds()
     job = a_job()
     deployment.submit(job, 'entry-2')
     deployment.run(1)
-    assert min(row[0] for row in starts_of(deployment, job)) - handed_in < 0.1
+    assert (
+        min(row[0] for row in starts_of(deployment, job)) - submitted_at < 0.1
+    )
 
 
-def test_a_job_met_again_at_another_entry_remains_one_job():
-    """A caller gets no answer and hands the same job in elsewhere.
+def test_a_job_submitted_again_to_another_entry_remains_one_job():
+    """A caller gets no response and submits the same job to another entry.
 
-    Both entries write the same row, which must not exist before: the second
-    one meets the first one's row and says that the job is accepted.
+    Both entries write the same row on the condition that it does not exist.
+    The second write conflicts, and its entry reports the job as accepted.
     """
     deployment = settled()
     job = a_job()
@@ -50,11 +52,11 @@
     assert len(starts_of(deployment, job)) == 4
 
 
-def test_an_answer_of_the_store_lost_after_the_write_means_accepted():
-    """The store writes the job and its answer is lost.
+def test_a_response_of_the_store_lost_after_the_write_means_accepted():
+    """The store writes the job and its response is lost.
 
-    The entry repeats the write, meets its own row and tells the caller that
-    the job is accepted; a refusal would be untrue, as the job runs.
+    The retried write conflicts with the entry's own row. The caller must get
+    an acceptance, as the job runs.
     """
     deployment = settled()
     deployment.rows.lose_next = 1
@@ -66,7 +68,7 @@
 
 
 def test_a_job_is_refused_as_never_run_only_while_it_cannot_be_stored():
-    """The store refuses: the job is not accepted and never runs."""
+    """The store refuses the write: the job is refused and never runs."""
     deployment = settled()
     deployment.rows.is_down = True
     job = a_job()
@@ -79,10 +81,10 @@
 
 
 def test_a_write_that_may_come_later_is_no_refusal():
-    """The store takes a job in and falls silent.
+    """The store receives a write and stops responding.
 
-    The write may be carried out seconds later, so that the caller must not
-    hear that the job never runs; it hears that the outcome is not known.
+    The write may be applied seconds later, so the caller must get "outcome
+    unknown" and not "never runs".
     """
     deployment = settled()
     deployment.rows.lose_next = 1
@@ -128,11 +130,11 @@
     assert deployment.state(job.job_id) is JobState.CANCELLED
 
 
-def test_cancelling_what_nobody_handed_in_is_answered_as_unknown():
+def test_cancelling_a_job_that_was_never_submitted_returns_unknown():
     deployment = settled()
     answers = []
-    desk = deployment.entries['entry-1'].core.job_api
-    desk.cancel('00000000000000aa', 1e12).addCallback(answers.append)
+    job_api = deployment.entries['entry-1'].core.job_api
+    job_api.cancel('00000000000000aa', 1e12).addCallback(answers.append)
     deployment.run(1)
     assert answers[0].unwrap() is False
 
@@ -147,8 +149,11 @@
     assert deployment.state(job.job_id) is JobState.ACTIVE
 
 
-def test_the_history_of_the_store_may_be_gone():
-    """A job's notice and the store's history are lost: the rows tell."""
+def test_a_job_is_found_without_its_notice_and_the_store_s_history():
+    """A job's notice and the store's change history are lost.
+
+    The owner must find the job by reading all rows again.
+    """
     deployment = settled()
     owner = deployment.owner
     other = next(name for name in deployment.entries if name != owner)
@@ -162,7 +167,7 @@
 
 
 class DeafPeers:
-    """Connections to other entries are gone."""
+    """Connections to other entries that lose each message."""
 
     def to_entry(self, entry_id, message):
         return False
@@ -187,9 +192,9 @@
 
 
 def test_a_gang_starts_as_a_whole_or_not_at_all():
-    """Two gangs of three large tasks each, and room for four tasks.
+    """Two gangs of three large tasks each, and capacity for four tasks.
 
-    A member started alone would wait for the others and end in vain.
+    A gang that is started in part could make no progress.
     """
     deployment = settled(workers=4)
     gangs = [
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -1,20 +1,18 @@
-"""What shows that an attempt is over, and what does not.
+"""Which messages prove that an attempt has ended.
 
-Users saw two runs of one task some milliseconds apart just after a shard had
-got a new owner, and a keeper that ran nowhere for ten seconds while entries
-and VMs were replaced in turn.
+The tests guard against two runs of one task just after a takeover, and against
+keepers that run nowhere for ten seconds while entries and VMs are replaced.
 """
 
 from hyssopring.jobs.model import AttemptEnd, JobState
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
-
 STEP_S = 0.01
 PATIENCE = 2000
 
 
-def pair(**options):
-    """Two entries and two workers: the owner, and who takes over from it."""
+def deploy_pair(**options):
+    """Return a deployment of two workers, its owner, and the other entry."""
     deployment = settled(
         Deployment(workers=2, entries=2, **options),
     )
@@ -24,16 +22,19 @@
 
 
 def run_until_owned(deployment, entry):
-    """Stop in the moment in which an entry has taken the shard."""
-    for _each in range(PATIENCE):
+    """Run until an entry has taken the shard."""
+    for _step in range(PATIENCE):
         if entry.core.owner.shards.by_shard:
             return
         deployment.run(STEP_S)
-    raise AssertionError('nobody has taken the shard')
+    raise AssertionError('no entry has taken the shard')
+
 
+def deploy_keepers():
+    """Return three workers with two keepers, and the worker of a keeper.
 
-def with_keepers():
-    """Three workers and two keepers; the number and worker of one of them."""
+    The second item is that worker's number.
+    """
     deployment = settled(workers=3, work_ms=lambda task: 60_000)
     job = a_job(steps=((2, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
@@ -48,15 +49,14 @@
     return sum(len(each.runs) for each in deployment.workers)
 
 
-def test_an_agent_that_a_new_owner_has_not_heard_is_not_given_up():
-    """A job comes to an owner that has just taken the shard.
+def test_an_attempt_on_an_agent_without_a_grant_of_a_new_owner_is_kept():
+    """A job is submitted to an owner that has just taken the shard.
 
-    An agent answers the owner's first question late: it has its former grant,
-    but none of this owner. The owner sent it a start, and at its next turn
-    took the lack of a grant of its own for a grant that had run out. It
-    started the task elsewhere while the first start was carried out.
+    An agent reports late: it has a grant of the former owner, but none of the
+    new one. The new owner sent it a start, treated the missing grant as an
+    expired one, and started the task elsewhere as well.
     """
-    deployment, owner, successor = pair(work_ms=lambda task: 3000)
+    deployment, owner, successor = deploy_pair(work_ms=lambda task: 3000)
     deployment.run(10)
     deployment.kill_entry(owner.name)
     run_until_owned(deployment, successor)
@@ -72,13 +72,13 @@
 
 
 def test_a_vm_that_leaves_while_entries_are_replaced_holds_up_no_keeper():
-    """A VM is taken away in planned work, and the owner is stopped after it.
+    """Guards against an 8.4 s wait for the agent of a VM that left as planned.
 
-    The agent had told that its worker left and nothing ran there any more,
-    and ended for good. Its successor as an owner knew it from the roster only
-    and waited 8.4 s for it, before it started the keeper that ran there.
+    The agent reports that its worker has left and runs nothing, and ends. The
+    shard's next owner knew the agent from the roster only, and waited before
+    it started the VM's keeper.
     """
-    deployment, number, worker = with_keepers()
+    deployment, number, worker = deploy_keepers()
     worker.is_leaving = True
     owner = deployment.entries[deployment.owner]
     owner.core.release()
@@ -95,11 +95,11 @@
 def test_a_worker_that_has_ended_before_its_agent_holds_up_no_keeper():
     """A worker withdraws and ends with its tasks, then its agent is stopped.
 
-    Nobody owns the shard meanwhile, so that no owner has stopped the tasks
-    there, and the worker lists no ends any more. The agent knows that a
-    worker that withdrew and is silent since runs nothing.
+    The shard has no owner meanwhile, so that no owner has stopped the tasks,
+    and the worker lists no ends any more. A worker that withdrew and does not
+    respond since runs nothing.
     """
-    deployment, number, worker = with_keepers()
+    deployment, number, worker = deploy_keepers()
     agent = deployment.agents[f'agent-{number}']
     deployment.entries[deployment.owner].core.release()
     agent.core.monitor.withdraw(worker.boot)
@@ -113,13 +113,13 @@
 
 
 def test_a_deposed_owner_leaves_jobs_to_its_successor():
-    """An owner is cut from its successor, and has authority for seconds.
+    """Guards against a job that a former owner finds by its poll.
 
-    A job is told to the successor, which starts it at once, as no other owner
-    has heard of it. The former owner finds the job's row by its regular poll
-    and started it too, on an agent that had not heard of the successor.
+    The former owner's lease lasts for seconds. The successor gets the job's
+    notice and starts it at once. The former owner found the job's row and
+    started it too, on an agent that did not know the successor.
     """
-    deployment, former, successor = pair(work_ms=lambda task: 4000)
+    deployment, former, successor = deploy_pair(work_ms=lambda task: 4000)
     former.membership.renew = lambda: None
     deployment.block('agent-1', successor.name)
     run_until_owned(deployment, successor)
@@ -131,13 +131,12 @@
     assert len(starts_of(deployment, job)) == 2
 
 
-def test_a_new_agent_does_not_take_its_predecessors_hold_for_over():
-    """An agent is restarted while nobody owns the shard.
+def test_a_new_agent_does_not_treat_its_predecessor_s_hold_as_expired():
+    """An agent is restarted while the shard has no owner.
 
-    Its worker's next answer takes 600 ms. The new agent has extended no hold
-    and took what it had found for lapsed, though its predecessor's hold had
-    seconds to go. The next owner heard of an idle worker, and started the
-    tasks a second time.
+    Its worker's next response takes 600 ms. The new agent has set no hold and
+    reported the tasks as expired, although its predecessor's hold had seconds
+    left. The next owner started the tasks a second time.
     """
     deployment = settled(workers=2, work_ms=lambda task: 12_000)
     job = a_job(steps=((4, ()),))
@@ -156,12 +155,11 @@
     assert len(starts_of(deployment, job)) == 4
 
 
-def test_a_refusal_does_not_speak_for_an_earlier_copy_of_the_start():
-    """A worker leaves a start unanswered, and refuses the second copy.
+def test_a_refusal_does_not_cover_an_earlier_copy_of_the_start():
+    """A worker does not respond to a start, and refuses the second copy.
 
-    It is unhealthy by then. The agent told the owner that nothing was
-    started, and the task went elsewhere; the first copy was carried out three
-    seconds later.
+    The agent reported that nothing was started, and the task was started
+    elsewhere. The worker carried out the first copy three seconds later.
     """
     deployment = settled(workers=2, work_ms=lambda task: 6000)
     job = a_job(steps=((1, ()),))
@@ -179,13 +177,13 @@
     assert deployment.state(job.job_id, deployment.owner) is JobState.COMPLETED
 
 
-def test_a_refused_start_leaves_what_runs_there_alone():
-    """An agent refuses a start, as an attempt of the task runs with it.
+def test_a_refused_start_does_not_end_a_running_attempt():
+    """An agent refuses a start, as it runs another attempt of the task.
 
-    The owner, which had lost track of that attempt, took the refusal for a
-    sign that nothing runs there, and started the task on another worker.
+    The owner had lost track of that attempt, treated the refusal as a proof
+    that nothing runs there, and started the task on another worker.
     """
-    deployment, owner, _other = pair(work_ms=lambda task: 4000)
+    deployment, owner, _other = deploy_pair(work_ms=lambda task: 4000)
     job = a_job(steps=((1, ()),))
     deployment.submit(job, owner.name)
     deployment.run(0.5)
--- a/tests/test_jobs_former_owners.py
+++ b/tests/test_jobs_former_owners.py
@@ -1,18 +1,18 @@
-"""Owners that go on without knowing of their successors.
+"""Former owners that go on while another entry owns the shard.
 
-A link may be missing between one agent and one entry only, so that the former
-owner reaches an agent that the next one does not. Each of these days ran one
-task twice.
+A link between one agent and one entry may be missing, so that the former owner
+reaches an agent that the next one does not. In each of these cases a task once
+ran twice.
 """
 
 from owner_support import (
     STEP_S,
-    busy,
-    idle,
+    busy_worker,
+    deploy_three_workers,
+    idle_worker,
     run_until_taken,
-    silence,
-    start_one,
-    three,
+    start_job,
+    stop_renewals,
 )
 from twisted.internet.defer import fail
 
@@ -26,15 +26,15 @@
 def test_an_owner_whose_row_is_renewed_again_is_still_deposed():
     """An owner's renewals fail for some seconds, and go on after a takeover.
 
-    It had authority as long as its own row was renewed, which says nothing of
-    the shard, and kept an agent's tasks alive that its successor could not
-    reach, long after that one's wait was over.
+    The renewal of its own row does not prove that it owns the shard. It kept
+    an agent's tasks alive long after its successor, which could not reach
+    that agent, had stopped waiting.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former, 2)
-    deployment.block(f'agent-{busy(deployment)}', successor.name)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former, 2)
+    deployment.block(f'agent-{busy_worker(deployment)}', successor.name)
     renew = former.membership.renew
-    silence(former)
+    stop_renewals(former)
     run_until_taken(deployment, [successor])
     former.membership.renew = renew
     deployment.run(30)
@@ -42,15 +42,15 @@
 
 
 def test_an_owner_that_the_store_serves_again_starts_nothing():
-    """An owner is cut from the store and its peers for 19 s.
+    """An owner is cut off from the store and its peers for 19 s.
 
-    It gives an attempt up while it may not act. Served again, it renewed its
-    row and started the attempt on an agent that only it could reach.
+    It expires an attempt while it may not act. Served again, it renewed its
+    row and started the task on an agent that only it could reach.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former)
-    runs_at = busy(deployment)
-    deployment.block(f'agent-{idle(deployment)}', successor.name)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former)
+    runs_at = busy_worker(deployment)
+    deployment.block(f'agent-{idle_worker(deployment)}', successor.name)
     former.has_peers = False
     deployment.rows.shunned.add(former.name)
     run_until_taken(deployment, [successor])
@@ -61,17 +61,17 @@
     deployment.run(10)
 
 
-def test_an_owner_that_wakes_gives_up_no_attempt_of_its_successor():
+def test_an_owner_that_wakes_expires_no_attempt_of_its_successor():
     """An owner is frozen for 12 s while its successor goes on.
 
-    The agent of a running task is linked to the successor only. The owner
-    woke, counted the attempt as lapsed, renewed its row and started it on an
-    agent that was linked to itself only.
+    The agent of a running task reaches the successor only. The former owner
+    woke, expired the attempt, renewed its row and started the task on an agent
+    that reached the former owner only.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former)
-    runs_at = busy(deployment)
-    deployment.block(f'agent-{idle(deployment)}', successor.name)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former)
+    runs_at = busy_worker(deployment)
+    deployment.block(f'agent-{idle_worker(deployment)}', successor.name)
     former.thaws_at = deployment.reactor.seconds() + 12
     deployment.block(f'agent-{runs_at}', former.name)
     deployment.run(30)
@@ -80,14 +80,14 @@
 def test_a_second_takeover_waits_for_the_first_owner_too():
     """An owner is cut off with one agent; its successor dies at once.
 
-    The successor's next process takes the shard back from its own former
-    process, which is dead, and waited only as long as that one's grants
-    last. The first owner still acted.
+    The successor's next process takes the shard from its own former process,
+    which is dead. It waited only for that one's grants while the first owner
+    still acted.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former, 2)
-    silence(former)
-    deployment.block(f'agent-{busy(deployment)}', successor.name)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former, 2)
+    stop_renewals(former)
+    deployment.block(f'agent-{busy_worker(deployment)}', successor.name)
     run_until_taken(deployment, [successor])
     deployment.run(0.5)
     deployment.kill_entry(successor.name)
@@ -97,11 +97,11 @@
 
 
 def test_a_planned_handover_does_not_forget_an_owner_that_may_act():
-    """As above, but the successor gives the shard up as planned."""
-    deployment, former, others = three(entries=3)
-    start_one(deployment, former, 2)
-    silence(former)
-    runs_at = busy(deployment)
+    """As above, but the successor releases the shard as planned."""
+    deployment, former, others = deploy_three_workers(entries=3)
+    start_job(deployment, former, 2)
+    stop_renewals(former)
+    runs_at = busy_worker(deployment)
     for other in others:
         deployment.block(f'agent-{runs_at}', other.name)
     successor = run_until_taken(deployment, others)
@@ -112,28 +112,28 @@
     deployment.run(WAIT_S)
 
 
-def test_a_wait_that_is_over_is_not_owed_any_more():
+def test_a_wait_that_is_over_is_removed_from_the_store():
     """A silent owner's successor has waited; the next one need not."""
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     former.is_alive = False
     deployment.kill_entry(former.name)
     run_until_taken(deployment, [successor])
-    owed = [row for row in deployment.rows.rows if row.key == 'wait']
+    rows_before = [row for row in deployment.rows.rows if row.key == 'wait']
     deployment.run(19)
-    left = [row for row in deployment.rows.rows if row.key == 'wait']
-    assert (len(owed), len(left)) == (1, 0)
+    rows_after = [row for row in deployment.rows.rows if row.key == 'wait']
+    assert (len(rows_before), len(rows_after)) == (1, 0)
 
 
 def test_a_restarted_agent_that_reaches_the_former_owner_only_keeps_tasks():
-    """An agent has heard of the new owner, is restarted, and loses its link.
+    """An agent knows the new owner, is restarted, and loses its link to it.
 
-    The new process hears the former owner only, and takes its grants. The new
-    owner counted the attempts there as lapsed 8.4 s after its own last grant.
+    The agent's new process reaches the former owner only and accepts its
+    grants. The new owner expired the attempts 8.4 s after its own last grant.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former)
-    number = busy(deployment)
-    silence(former)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former)
+    number = busy_worker(deployment)
+    stop_renewals(former)
     run_until_taken(deployment, [successor])
     deployment.run(0.3)
     deployment.kill_agent(f'agent-{number}')
@@ -145,10 +145,10 @@
 
 def test_a_restarted_agent_takes_no_second_attempt_from_a_former_owner():
     """As above, but the attempt fails under the new owner first."""
-    deployment, former, (successor,) = three()
-    start_one(deployment, former)
-    number = busy(deployment)
-    silence(former)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former)
+    number = busy_worker(deployment)
+    stop_renewals(former)
     for each in range(3):
         deployment.block(f'agent-{each}', former.name)
     run_until_taken(deployment, [successor])
@@ -164,23 +164,24 @@
     deployment.run(WAIT_S)
 
 
-def test_a_job_that_a_former_owner_is_told_of_is_passed_on():
-    """A job's notice comes to an entry that has just lost the shard.
+def test_a_job_notice_that_a_former_owner_receives_is_forwarded():
+    """Guards against a job that waits until all agents have reported.
 
-    It was dropped, and the owner found the job by its poll only: a job that
-    may have begun, for which it waited until all agents were heard.
+    The job's notice reaches an entry that has just lost the shard. If the
+    notice is dropped, the owner finds the job by a poll only and must assume
+    that a former owner has started it.
     """
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     deployment.block('agent-0', successor.name)
     former.core.release()
     run_until_taken(deployment, [successor])
     deployment.run(0.2)
     successor.core.poll = lambda: None
     former.membership.owner_of = lambda shard: successor.name
-    desk = former.core.job_api
+    job_api = former.core.job_api
     job = a_job(steps=((1, ()),))
     notices = []
-    desk._send_to_owner = lambda shard, message: notices.append(message)
+    job_api._send_to_owner = lambda shard, message: notices.append(message)
     deployment.submit(job, former.name)
     deployment.run(0.1)
     former.core.handle_message(notices[0], successor.name)
@@ -188,15 +189,15 @@
     assert len(starts_of(deployment, job)) == 1
 
 
-def test_an_owner_that_may_not_act_yet_gives_up_nothing_that_it_hears_of():
+def test_an_owner_that_may_not_act_yet_expires_no_reported_attempt():
     """An owner takes a shard while its own row is not renewed.
 
-    It grants nothing, and hears from the agents what runs. Counted from its
-    own grants only, all of that was over at once.
+    It sends no grants yet. It expired all reported attempts at once, as it
+    counted its own grants only.
     """
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     deployment.run(10)
-    job = start_one(deployment, former, 3)
+    job = start_job(deployment, former, 3)
     deployment.kill_entry(former.name)
     run_until_taken(deployment, [successor])
     owner = successor.core.owner
@@ -204,18 +205,18 @@
     deployment.run(0.1)
     owned = successor.core.owner.shards.by_shard[0]
     step_run = owned.by_job[job.job_id].step_runs['0.0']
-    for _each in range(60):
+    for _step in range(60):
         deployment.run(STEP_S)
         assert len(step_run.running) == 3
 
 
 def test_an_owner_that_is_deposed_while_it_reads_starts_nothing():
-    """A shard changes hands twice while its first taker reads the rows.
+    """A shard is taken again while its first new owner reads the rows.
 
-    A job is told to the last one, which starts it. The first one found it
-    among the rows that it had read, and started it too.
+    The last owner receives a job's notice and starts it. The first one found
+    the job among the rows that it had read, and started it too.
     """
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     former.core.release()
     run_until_taken(deployment, [successor])
     owned = successor.core.owner.shards.by_shard[0]
@@ -233,12 +234,11 @@
 
 
 def test_a_job_is_found_though_the_check_of_the_owner_failed_at_first():
-    """The store refuses the reading that is to show the owner's row.
+    """The store refuses the read of the owner row after a read of jobs.
 
-    The jobs that were read with it were marked as seen, and were not looked
-    for again.
+    The jobs were marked as seen and never read again.
     """
-    deployment, former, _others = three()
+    deployment, former, _others = deploy_three_workers()
     core = former.core
     owned = core.owner.shards.by_shard[0]
     job = a_job(steps=((1, ()),))
@@ -258,12 +258,12 @@
     assert len(starts_of(deployment, job)) == 1
 
 
-def test_an_entry_that_stops_does_not_come_first_for_a_shard():
-    """Two of three entries are stopped in turn; both still show that they live.
+def test_an_entry_that_stops_does_not_rank_first_for_a_shard():
+    """Two of three entries are stopped in turn while their rows are renewed.
 
-    The third one left the shard to them, 1.5 s to each, while neither took it.
+    The third one waited 1.5 s for each of them, while neither took the shard.
     """
-    deployment, former, others = three(entries=3)
+    deployment, former, others = deploy_three_workers(entries=3)
     others[0].core.release()
     deployment.run(1.2)
     former.core.release()
--- a/tests/test_jobs_lasting.py
+++ b/tests/test_jobs_lasting.py
@@ -1,7 +1,7 @@
-"""Tasks that last and stay away, in virtual time, judged by the rule.
+"""Keepers whose tasks fail by themselves, in virtual time.
 
-Made after a day on which tasks that fail by themselves after some seconds ran
-nowhere, beside workers that die and owners that are killed in series.
+The tests guard against tasks that run nowhere after they failed, while workers
+die and owners are killed in series. ``LastingRule`` checks the bound.
 """
 
 import random
@@ -16,30 +16,30 @@
 CALM_S = 25
 
 
-def is_lasting(task):
+def is_keeper_task(task):
     return task.startswith('0000000000000001.')
 
 
-def failing_keepers(seed, workers=WORKERS):
-    """A deployment whose lasting tasks fail 3 to 15 s after their start."""
-    chances = random.Random(seed)
+def deploy_failing_keepers(seed, workers=WORKERS):
+    """Return a deployment whose keepers fail 3 to 15 s after their start."""
+    rng = random.Random(seed)
 
     def work_ms(task):
-        return chances.randint(3000, 15_000) if is_lasting(task) else 700
+        return rng.randint(3000, 15_000) if is_keeper_task(task) else 700
 
     deployment = settled(
         Deployment(workers=workers, work_ms=work_ms, keeps_ids=True)
     )
     for worker in deployment.workers:
-        worker.fails = is_lasting
+        worker.fails = is_keeper_task
     job = a_job(steps=((5, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
     deployment.submit(a_job(2, steps=((8, ()),)))
-    return deployment, job, chances
+    return deployment, job, rng
 
 
 def lose_power(deployment, away_s=1):
-    """All processes and workers stop at once; workers keep their ids."""
+    """Stop all processes and workers at once; workers keep their ids."""
     for name in list(deployment.entries):
         deployment.kill_entry(name)
     for name, agent in list(deployment.agents.items()):
@@ -53,8 +53,8 @@
 
 
 def kill_owners(deployment, rule, count=3):
-    """Owners are killed in series; each is back 2 s later."""
-    for _each in range(count):
+    """Kill owners in series; each is back 2 s later."""
+    for _round in range(count):
         owner = next(
             (
                 name
@@ -70,18 +70,18 @@
         rule.run(4)
 
 
-def restart_workers(deployment, rule, chances):
-    """Workers die one after the other and return under their ids."""
-    for worker in chances.sample(deployment.workers, len(deployment.workers)):
-        worker.go_down(chances.uniform(0.2, 3))
+def restart_workers(deployment, rule, rng):
+    """Kill workers one after the other; they return under their ids."""
+    for worker in rng.sample(deployment.workers, len(deployment.workers)):
+        worker.go_down(rng.uniform(0.2, 3))
         rule.disturb(3)
-        rule.run(chances.uniform(0.1, 2))
+        rule.run(rng.uniform(0.1, 2))
 
 
 @pytest.mark.parametrize('leaves', [False, True])
-def test_restarted_workers_take_lasting_tasks_again(leaves):
-    """Guards against a worker that takes nothing after it kept its id."""
-    deployment, job, chances = failing_keepers(1)
+def test_restarted_workers_run_keepers_again(leaves):
+    """Guards against a restarted worker with the same id that gets no tasks."""
+    deployment, job, rng = deploy_failing_keepers(1)
     rule = LastingRule(deployment, [job])
     rule.run(30)
     for worker in deployment.workers:
@@ -103,19 +103,19 @@
 
 
 @pytest.mark.parametrize('seed', [0, 5, 8])
-def test_failing_lasting_tasks_come_back_after_a_day_of_restarts(seed):
-    """Guards against lasting tasks that nothing runs once all is calm."""
-    deployment, job, chances = failing_keepers(seed)
+def test_failing_keepers_run_again_after_a_day_of_restarts(seed):
+    """Guards against keepers that run nowhere once all faults are over."""
+    deployment, job, rng = deploy_failing_keepers(seed)
     rule = LastingRule(deployment, [job])
     rule.run(10)
-    parts = [
-        lambda: restart_workers(deployment, rule, chances),
+    faults = [
+        lambda: restart_workers(deployment, rule, rng),
         lambda: kill_owners(deployment, rule),
-        lambda: lose_power(deployment, chances.uniform(0.3, 2)),
+        lambda: lose_power(deployment, rng.uniform(0.3, 2)),
     ]
-    for _each in range(5):
-        chances.choice(parts)()
+    for _round in range(5):
+        rng.choice(faults)()
         rule.disturb()
-        rule.run(chances.uniform(1, 14))
+        rule.run(rng.uniform(1, 14))
     rule.run(CALM_S)
     assert not rule.lost
--- a/tests/test_jobs_lasting_trials.py
+++ b/tests/test_jobs_lasting_trials.py
@@ -1,7 +1,7 @@
-"""Tasks that last, beside trials of tasks that were starting at a crash.
+"""Keepers, beside trials of tasks that were starting when a worker crashed.
 
-By the rule: from nine seconds after its last run each of them has to
-run again, if the last seven were calm.
+``LastingRule``: each task has to run again nine seconds after its last run, if
+there was no fault in the last seven.
 """
 
 import pytest
@@ -15,8 +15,8 @@
 ROOMY = Size(64_000, 256_000, 0)
 
 
-def lasting(tasks, workers, labelled=0, label='', room=None):
-    """A deployment on which so many tasks that last run, and their watch."""
+def deploy_keepers(tasks, workers, labelled=0, label='', room=None):
+    """Return a deployment with so many keepers' tasks, and their rule."""
     deployment = Deployment(workers=workers, work_ms=lambda task: FOREVER_MS)
     for number, worker in enumerate(deployment.workers):
         worker.room = room or worker.room
@@ -34,24 +34,26 @@
 
 
 def run_until_started(deployment, rule, count):
-    """Go on until so many tasks start within a moment."""
-    begun_at = deployment.reactor.seconds()
-    for _each in range(400):
+    """Run until so many tasks start within half a second."""
+    began_at = deployment.reactor.seconds()
+    for _step in range(400):
         rule.run(0.05)
-        recent = max(begun_at, deployment.reactor.seconds() - 0.5)
+        recent = max(began_at, deployment.reactor.seconds() - 0.5)
         if sum(row[0] >= recent for row in deployment.book.starts) >= count:
             return
-    raise AssertionError('they do not start')
+    raise AssertionError('the tasks do not start')
 
 
 @pytest.mark.parametrize('workers', [1, 8])
 def test_innocent_tasks_do_not_wait_for_trials_in_a_series(workers):
-    """Guards against a step that stops at each suspect's trial.
+    """Guards against a step that waits for each suspect's trial.
 
     Half of a worker's tasks had just started when it crashed; no other worker
     has the label.
     """
-    deployment, rule = lasting(20, workers, labelled=1, label='a', room=ROOMY)
+    deployment, rule = deploy_keepers(
+        20, workers, labelled=1, label='a', room=ROOMY
+    )
     rule.run(2)
     worker = deployment.workers[0]
     for run in list(worker.runs.values()):
@@ -64,12 +66,12 @@
 
 
 def test_former_crashes_do_not_add_to_the_wait_for_a_lost_vm():
-    """Guards against trials that begin when the rule's time is over.
+    """Guards against trials that begin after the rule's bound.
 
     A worker crashed once, long ago, and its tasks have run since. The next
     owner finds the crash in the store, and later loses a VM.
     """
-    deployment, rule = lasting(30, workers=3)
+    deployment, rule = deploy_keepers(30, workers=3)
     rule.run(0.3)
     crash(deployment.workers[0], rule)
     rule.run(10)
@@ -87,7 +89,7 @@
 
 def test_crashes_of_all_workers_in_a_row_do_not_add_up():
     """Guards against a wait that grows by two seconds with each crash."""
-    deployment, rule = lasting(100, workers=4, room=ROOMY)
+    deployment, rule = deploy_keepers(100, workers=4, room=ROOMY)
     for _wave in range(4):
         run_until_started(deployment, rule, count=40)
         for worker in deployment.workers:
@@ -100,12 +102,12 @@
 
 
 def test_crashes_of_all_workers_at_once_fail_no_lasting_job():
-    """Guards against crashes that are common and are taken for isolated.
+    """Guards against common crashes that are classified as isolated.
 
     All workers crash together, soon after most tasks have started, and are
-    back before most agents have missed them.
+    back before most agents have noticed.
     """
-    deployment, rule = lasting(40, workers=8)
+    deployment, rule = deploy_keepers(40, workers=8)
     for _wave in range(6):
         run_until_started(deployment, rule, count=12)
         for worker in deployment.workers:
--- a/tests/test_jobs_lasting_waits.py
+++ b/tests/test_jobs_lasting_waits.py
@@ -1,7 +1,7 @@
-"""Tasks that last, and what an owner or an agent waits for before the next run.
+"""Keepers, and the waits of owners and agents before their next run.
 
-By the rule: from nine seconds after its last run each of them has to
-run again, if the last seven were calm.
+``LastingRule``: each task has to run again nine seconds after its last run, if
+there was no fault in the last seven.
 """
 
 import pytest
@@ -20,8 +20,8 @@
 LATE_EACH_S = 1.5
 
 
-def lasting(tasks, **options):
-    """A deployment on which so many tasks that last run, and their watch."""
+def deploy_keepers(tasks, **options):
+    """Return a deployment with so many keepers' tasks, and their rule."""
     deployment = settled(Deployment(work_ms=lambda task: FOREVER_MS, **options))
     job = a_job(steps=((tasks, ()),), is_keeper=True)
     deployment.submit(job)
@@ -39,15 +39,15 @@
 @pytest.mark.parametrize('keeps_ids', [False, True])
 @pytest.mark.parametrize('after_s', [0.1, 1, 3])
 def test_a_worker_that_is_lost_soon_after_its_return(keeps_ids, after_s):
-    """Guards against a hold of a former incarnation that outlasts the rule.
+    """Guards against a former incarnation's hold that exceeds the rule's bound.
 
-    The worker starts again, takes tasks, and is lost for good; its agent stays.
+    The worker starts again, gets tasks, and is lost; its agent stays.
     """
-    deployment, rule = lasting(60, keeps_ids=keeps_ids)
+    deployment, rule = deploy_keepers(60, keeps_ids=keeps_ids)
     worker = deployment.workers[0]
     worker.go_down(0.3)
     rule.disturb(0.3)
-    for _each in range(100):
+    for _step in range(100):
         if worker.runs:
             break
         rule.run(0.05)
@@ -60,18 +60,18 @@
     assert not rule.lost
 
 
-def turn_late(deployment, process):
-    """The process stands still for a moment, again and again."""
+def delay_ticks(deployment, process):
+    """Freeze a process for a moment, again and again."""
     process.thaws_at = deployment.reactor.seconds() + LATE_S
-    deployment.reactor.callLater(LATE_EACH_S, turn_late, deployment, process)
+    deployment.reactor.callLater(LATE_EACH_S, delay_ticks, deployment, process)
 
 
 @pytest.mark.parametrize('is_late', [False, True])
-def test_an_owner_whose_turns_are_late_gives_up_a_lost_vm(is_late):
-    """Guards against silence that is never judged, as each turn comes late."""
-    deployment, rule = lasting(8)
+def test_an_owner_whose_ticks_are_late_expires_a_lost_vm(is_late):
+    """Guards against a lost VM that is never expired when all ticks are late."""
+    deployment, rule = deploy_keepers(8)
     if is_late:
-        turn_late(deployment, deployment.entries[deployment.owner])
+        delay_ticks(deployment, deployment.entries[deployment.owner])
     deployment.kill_agent('agent-0')
     lose_worker(deployment.workers[0], rule)
     rule.run(WATCHED_S)
@@ -79,32 +79,32 @@
 
 
 @pytest.mark.parametrize('is_late', [False, True])
-def test_an_owner_whose_turns_are_late_waits_no_longer_for_the_unheard(is_late):
-    """Guards against jobs of earlier owners that wait without an end.
+def test_an_owner_whose_ticks_are_late_waits_no_longer_for_reports(is_late):
+    """Guards against jobs of former owners that wait for ever.
 
     A VM and the owner are lost together; new jobs start meanwhile.
     """
-    deployment, rule = lasting(8)
+    deployment, rule = deploy_keepers(8)
     deployment.kill_agent('agent-0')
     lose_worker(deployment.workers[0], rule)
     deployment.kill_entry(deployment.owner)
     rule.run(4)
     owner = deployment.entries[deployment.owner]
     if is_late:
-        turn_late(deployment, owner)
+        delay_ticks(deployment, owner)
     wait_ms = owner.core.owner.shards.by_shard[0].former.wait_ms
     rule.run(wait_ms / MILLIS_PER_SECOND + MARGIN_S)
-    lasting_tasks = deployment.book.keepers
-    running = {task for task in lasting_tasks if deployment.book.running[task]}
-    assert running == lasting_tasks
+    keeper_tasks = deployment.book.keepers
+    running = {task for task in keeper_tasks if deployment.book.running[task]}
+    assert running == keeper_tasks
 
 
 @pytest.mark.parametrize('is_late', [False, True])
-def test_an_agent_whose_turns_are_late_gives_up_a_lost_worker(is_late):
-    """Guards against a worker that is never missed, as each turn comes late."""
-    deployment, rule = lasting(8)
+def test_an_agent_whose_ticks_are_late_expires_a_lost_worker(is_late):
+    """Guards against a lost worker that is never expired when ticks are late."""
+    deployment, rule = deploy_keepers(8)
     if is_late:
-        turn_late(deployment, deployment.agents['agent-0'])
+        delay_ticks(deployment, deployment.agents['agent-0'])
     lose_worker(deployment.workers[0], rule)
     rule.run(WATCHED_S)
     assert not rule.lost
@@ -118,11 +118,11 @@
     worker.start = lambda start: worker._fail(WorkerUnreachable('none'), 0.4)
 
 
-@pytest.mark.parametrize('turn_bad', [refuse_starts, answer_no_start])
-def test_tasks_do_not_wait_for_a_worker_that_starts_nothing(turn_bad):
-    """Guards against starts that go to one bad worker, beside idle ones."""
-    deployment, rule = lasting(2)
-    turn_bad(deployment.workers[0])
+@pytest.mark.parametrize('break_worker', [refuse_starts, answer_no_start])
+def test_tasks_do_not_wait_for_a_worker_that_starts_nothing(break_worker):
+    """Guards against starts that all go to one bad worker beside idle ones."""
+    deployment, rule = deploy_keepers(2)
+    break_worker(deployment.workers[0])
     rule.disturb()
     for worker in deployment.workers:
         worker.fail_all()
--- a/tests/test_jobs_outage_days.py
+++ b/tests/test_jobs_outage_days.py
@@ -1,4 +1,4 @@
-"""Days on which VMs stay away while one owner follows the other.
+"""VMs that are lost while owners follow each other in series.
 
 Longer runs: ``python -m tests.test_jobs_outage_days FIRST LAST``.
 """
@@ -24,8 +24,8 @@
 def test_a_day_of_vms_that_stay_away(kind, seed):
     """Guards against tasks that wait for VMs on which they did not run.
 
-    Nor does a task of a lost VM wait longer from its loss on than safety asks,
-    or start while it may run there: the workers' book asserts that.
+    A task of a lost VM must not wait longer than safety requires either. The
+    workers' record asserts that it does not start while it may run there.
     """
     day = kind(seed)
     left = day.play()
@@ -35,7 +35,7 @@
 
 
 def main(first, last):
-    """Play days by hand, some lines for each that fails."""
+    """Run a range of seeds and print the faults of each that fails."""
     for seed in range(first, last + 1):
         for kind in KINDS:
             day = kind(seed)
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -1,13 +1,19 @@
-"""For whom a new owner waits, and what ends the wait early.
+"""How long a new owner waits for agents and former owners.
 
-Too short a wait runs a task twice; too long a one keeps keepers away.
+Too short a wait runs a task twice; too long a one delays keepers.
 """
 
-from owner_support import busy, run_until_taken, silence, start_one, three
+from owner_support import (
+    busy_worker,
+    deploy_three_workers,
+    run_until_taken,
+    start_job,
+    stop_renewals,
+)
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.documents import EntryRow, FormerOwnerProcess, OwnerRow
-from hyssopring.jobs.former_owner import FormerOwner, AcquiredShard
+from hyssopring.jobs.former_owner import AcquiredShard, FormerOwner
 from hyssopring.jobs.messages import AgentGrant, ShardReleased
 from hyssopring.jobs.model import AttemptEnd
 from hyssopring.jobs.peer_entries import PeerEntries
@@ -16,14 +22,14 @@
 from standins.jobs.deployment import starts_of
 
 
-def cut_off_from_successor():
-    """The owner is silent, then frozen; agent-0 is cut off from the next one.
+def freeze_owner_and_cut_off_agent():
+    """Return a deployment with a frozen owner, that owner, and its successor.
 
-    Returns the deployment, the frozen owner and its successor.
+    The successor cannot reach agent-0.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former)
-    silence(former)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former)
+    stop_renewals(former)
     run_until_taken(deployment, [successor])
     deployment.run(1)
     former.thaws_at = deployment.reactor.seconds() + 60
@@ -32,12 +38,12 @@
 
 
 def test_an_agent_stays_listed_while_a_former_owner_may_act():
-    """An agent is heard, then cut off, within the wait for a silent owner.
+    """An agent reports, then is cut off, while a silent owner may still act.
 
-    It may have been restarted and reach the former owner only. Struck off, it
-    would not be waited for by the next owner.
+    The agent may have been restarted and reach the former owner only. Without
+    its row the next owner would not wait for it.
     """
-    deployment, former, successor = cut_off_from_successor()
+    deployment, former, successor = freeze_owner_and_cut_off_agent()
     deployment.run(12)
     roster = successor.core.owner.shards.by_shard[0].roster
     assert 'agent-0' in roster
@@ -45,12 +51,12 @@
     assert 'agent-0' not in roster
 
 
-def test_an_agent_that_left_before_its_owner_gave_up_is_waited_for():
-    """An agent ends with its worker, and its owner dies without a word.
+def test_an_agent_that_left_before_its_owner_died_is_waited_for():
+    """An agent ends with its worker, and then its owner is killed.
 
-    Until it died the owner may have given the agent's next process tasks.
+    Until then the owner may have sent tasks to the agent's next process.
     """
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     deployment.workers[0].is_leaving = True
     deployment.agents['agent-0'].beat()
     deployment.run(0.1)
@@ -65,18 +71,18 @@
     assert owned.unreported == {'agent-0'}
 
 
-def test_a_former_owner_that_had_just_begun_tells_how_long_to_wait():
-    """An owner drops a shard 40 ms after it took it, unheard by most agents.
+def test_a_former_owner_that_had_just_begun_reports_its_remaining_wait():
+    """Guards against a wait of 18.4 s for lost VMs where 8.4 s are enough.
 
-    Its successor knew nothing of those it had not heard, and waited 18.4 s
-    for VMs that were gone, though the former owner had to wait 8.4 s only.
+    An owner releases a shard 40 ms after it took it, before most agents have
+    reported. Its successor must use the former owner's own remaining wait.
     """
     clock = ManualClock(0)
     before = FormerOwnerProcess('b', 'process', 1)
     taken = AcquiredShard(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
     former = FormerOwner(clock, taken)
-    told = ShardReleased(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
-    former.record_release(told, 0)
+    message = ShardReleased(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
+    former.record_release(message, 0)
     clock.advance(8335)
     assert former.grant_expires_at('not-heard') < clock.now()
     assert former.grant_expires_at('heard') >= clock.now()
@@ -85,10 +91,10 @@
 
 
 def test_an_owner_row_is_a_sign_of_life_of_its_entry():
-    """An entry wakes after seconds, and takes a shard before it renews.
+    """Guards against a takeover from an owner that is alive.
 
-    Its row is old, and another entry took the shard from it within 10 ms, as
-    from a silent owner.
+    A frozen entry wakes and takes a shard before it renews its own row.
+    Another entry considered it silent and took the shard within 10 ms.
     """
     clock = ManualClock(0)
     peers = PeerEntries(clock, 'me')
@@ -100,22 +106,21 @@
     assert peers.is_owner_live(owner, 4) is False
 
 
-def test_an_entry_that_starts_after_a_release_knows_that_it_happened():
-    """All entries are replaced in turn, and VMs with them.
+def test_an_entry_that_starts_after_a_release_detects_the_release():
+    """Guards against an 8.4 s wait of keepers when all entries are replaced.
 
-    No other entry was there to be told when the owner gave the shard up. The
-    next one had just started, and did not take the last word of agents that
-    ended after that: it waited 8.4 s for them, and keepers with it.
+    No other entry runs when the owner releases the shard. The next one starts
+    later and must accept that agents which left after the release run nothing.
     """
-    deployment, former, (successor,) = three()
-    start_one(deployment, former, 2)
+    deployment, former, (successor,) = deploy_three_workers()
+    start_job(deployment, former, 2)
     deployment.kill_entry(successor.name)
     deployment.run(0.1)
     former.core.release()
     deployment.run(0.5)
     deployment.start_entry(successor.name)
     deployment.run(1.2)
-    number = busy(deployment)
+    number = busy_worker(deployment)
     worker = deployment.workers[number]
     worker.is_leaving = True
     deployment.agents[f'agent-{number}'].beat()
@@ -131,15 +136,14 @@
 
 
 def test_two_owners_that_were_killed_are_not_waited_for_once_they_are_back():
-    """A VM is lost for good, and two owners in a row are killed after it.
+    """Guards against an 18.4 s wait of a lost VM's keeper.
 
-    The third owner knew of the first only that it may still act, and of the
-    second nothing at all: the lost VM's keeper waited 18.4 s. Both entries
-    were back within seconds, so that their former processes were dead.
+    A VM is lost, and two owners in a row are killed after it. Both entries
+    are back within seconds, which shows that their former processes are dead.
     """
-    deployment, first, others = three(entries=3)
-    job = start_one(deployment, first)
-    number = busy(deployment)
+    deployment, first, others = deploy_three_workers(entries=3)
+    job = start_job(deployment, first)
+    number = busy_worker(deployment)
     deployment.workers[number].crash()
     deployment.workers[number].is_dark = True
     deployment.kill_agent(f'agent-{number}')
@@ -158,14 +162,14 @@
     assert len(starts_of(deployment, job)) == 2
 
 
-def test_a_silent_owner_stays_in_doubt_however_many_follow_it():
+def test_a_silent_owner_stays_unconfirmed_after_several_takeovers():
     """An owner freezes; its successor is killed and comes back.
 
-    Only the successor is known to be dead. The first one may wake and order
-    agents that the third owner does not reach: it is waited for.
+    Only the successor is known to be dead. The first owner may wake and send
+    orders to agents that the third owner cannot reach.
     """
-    deployment, first, others = three(entries=3)
-    start_one(deployment, first)
+    deployment, first, others = deploy_three_workers(entries=3)
+    start_job(deployment, first)
     first.thaws_at = deployment.reactor.seconds() + 60
     second = run_until_taken(deployment, others)
     deployment.kill_entry(second.name)
@@ -179,13 +183,13 @@
 
 
 def test_an_agent_stays_listed_after_its_former_owner_was_found_dead():
-    """A frozen owner's VM gets a new process, while an agent is cut off.
+    """A frozen owner is restarted while an agent is cut off.
 
-    The agent may have been restarted and reached the frozen owner alone before
-    that one died: what it was granted then lasts for 8 s more. Struck off at
-    the death, its tasks would be started elsewhere beside it.
+    The agent may have reached only the former owner before that one died, and
+    its grant lasts for 8 s more. If it were removed at once, its tasks would
+    run twice.
     """
-    deployment, former, successor = cut_off_from_successor()
+    deployment, former, successor = freeze_owner_and_cut_off_agent()
     deployment.run(9.5)
     deployment.kill_entry(former.name)
     deployment.start_entry(former.name)
@@ -197,13 +201,13 @@
     assert 'agent-0' not in owned.roster
 
 
-def test_a_wait_row_without_names_is_waited_for():
+def test_an_empty_row_of_former_owners_is_waited_for():
     """Entries of two releases run side by side; the older one's row is empty.
 
-    Nobody knows which owner it speaks of, so that none is found dead: taken
-    for no owner at all, the next one would run tasks beside it.
+    It does not name the owner that may still act, so that none can be found
+    dead. Without a wait the next owner would run tasks twice.
     """
-    deployment, former, (successor,) = three()
+    deployment, former, (successor,) = deploy_three_workers()
     deployment.rows.apply(Transaction((), (RowPut(former_owners_key(0), ''),)))
     deployment.kill_entry(former.name)
     run_until_taken(deployment, [successor])
@@ -216,15 +220,15 @@
     assert former_owners_key(0) not in deployment.rows.rows
 
 
-def test_an_owner_hands_on_what_the_one_before_said_of_an_unheard_agent():
-    """An agent dies; its owner and the next one give the shard up in a row.
+def test_an_owner_passes_on_the_grants_of_agents_that_did_not_report():
+    """An agent dies; its owner and the next one release the shard in a row.
 
-    The second had not heard the agent and named no grant of it, nor a wait:
-    the third started its tasks at once, while they ran on.
+    The agent had not reported to the second owner, which passed on neither
+    its grant nor a wait: the third started its tasks while they ran on.
     """
-    deployment, former, others = three(entries=3)
-    job = start_one(deployment, former)
-    number = busy(deployment)
+    deployment, former, others = deploy_three_workers(entries=3)
+    job = start_job(deployment, former)
+    number = busy_worker(deployment)
     deployment.kill_agent(f'agent-{number}')
     former.core.release()
     second = run_until_taken(deployment, others)
--- a/tests/test_jobs_owners.py
+++ b/tests/test_jobs_owners.py
@@ -1,17 +1,17 @@
-"""Owners that die, freeze, are turned away or replaced, in virtual time.
+"""Owners that die, freeze, or are refused by the store, in virtual time.
 
-See ``test_jobs`` for what is asserted all the while.
+See ``test_jobs`` for the assertions that hold in all tests.
 """
 
 from hyssopring.jobs.model import JobState
 from standins.jobs.deployment import a_job, settled, starts_of
 
 
-def test_starts_go_on_while_the_store_is_away():
+def test_starts_go_on_while_the_store_is_down():
     """The store is down for four seconds after a job was accepted.
 
-    Its second step starts all the same: the owner's authority outlasts the
-    outage, and only the ends' recording waits for the store.
+    Its second step must start: the owner's lease outlasts the outage, and only
+    the recording of ends waits for the store.
     """
     deployment = settled()
     job = a_job(steps=((2, ()), (2, (0,))))
@@ -30,8 +30,8 @@
 def test_an_owner_that_dies_is_replaced_and_nothing_runs_twice():
     """The owner is killed while tasks run.
 
-    Another entry takes the shard after three missed renewals, asks all
-    agents what runs, and goes on from there.
+    Another entry takes the shard after three missed renewals, requests all
+    agents' reports, and continues.
     """
     deployment = settled(work_ms=lambda task: 3000)
     job = a_job(steps=((6, ()), (2, (0,))))
@@ -44,11 +44,11 @@
     assert len(starts_of(deployment, job)) == 8
 
 
-def test_an_end_noted_by_nobody_before_the_owner_dies_is_told_again():
+def test_an_end_that_was_not_recorded_before_the_owner_dies_is_listed_again():
     """A task ends, and the owner dies before it has recorded the end.
 
-    The worker lists the end until it is told that it is durable, so that the
-    next owner hears of it and does not start the task again.
+    The worker lists the end until it is acknowledged as durable, so that the
+    next owner receives it and does not start the task again.
     """
     deployment = settled(work_ms=lambda task: 1000)
     job = a_job(steps=((2, ()),))
@@ -64,10 +64,10 @@
 
 
 def test_a_frozen_owner_that_wakes_starts_nothing_of_its_former_shard():
-    """The owner stands still for six seconds and another one takes over.
+    """The owner is frozen for six seconds and another entry takes over.
 
-    When it wakes it still takes itself for the owner; the agents have heard
-    of a newer reign and refuse its starts, the store its writes.
+    When it wakes it still acts as the owner. The agents know a newer epoch
+    and refuse its starts, and the store refuses its writes.
     """
     deployment = settled(work_ms=lambda task: 2500)
     job = a_job(steps=((3, ()), (3, (0,))))
@@ -81,10 +81,10 @@
     assert len(starts_of(deployment, job)) == 6
 
 
-def test_an_entry_that_the_store_turns_away_loses_its_shard():
+def test_an_entry_that_the_store_refuses_loses_its_shard():
     """The store refuses the owner's calls and serves the others'.
 
-    The owner has no path to its peers either, which could make its calls.
+    The owner cannot reach its peers either, which could relay its calls.
     """
     deployment = settled(work_ms=lambda task: 2000)
     job = a_job(steps=((3, ()), (3, (0,))))
@@ -105,7 +105,7 @@
 
 
 def test_failed_attempts_count_over_a_change_of_owner():
-    """One attempt failed, then the owner dies: one more may start, not two."""
+    """One attempt fails, then the owner dies: only one more may start."""
     deployment = settled()
     for worker in deployment.workers:
         worker.fails = lambda task: True
@@ -138,11 +138,11 @@
     assert len(starts_of(deployment, job)) == 12
 
 
-def test_a_failed_end_that_two_owners_hear_of_counts_once():
-    """An owner records a failed attempt and dies before it has said so.
+def test_a_failed_end_that_two_owners_receive_counts_once():
+    """Guards against a job that fails after a single failed attempt.
 
-    The worker lists the end again, and the next owner hears of it too. Its
-    count must not rise: a job was shown as failed after a single failure.
+    An owner records the attempt and dies before it acknowledges the end. The
+    worker lists it again, and the next owner must not count it twice.
     """
     deployment = settled(work_ms=lambda task: 1000)
     failures = iter([True])
@@ -161,11 +161,11 @@
 
 
 def test_a_new_owner_waits_for_an_agent_that_it_cannot_reach():
-    """An agent is cut off with running tasks, and then the owner dies.
+    """An agent with running tasks is cut off, and then the owner dies.
 
-    Nobody tells the next owner that these tasks run. It knows from the store
-    that there is an agent which it has not heard, and starts tasks of older
-    jobs only when that agent's grants must be over.
+    The next owner gets no report of these tasks. It reads the agent from the
+    roster, and may start tasks of older jobs only when the agent's grants
+    must have expired.
     """
     deployment = settled(workers=2, work_ms=lambda task: 30_000)
     job = a_job(steps=((4, ()),))
@@ -180,12 +180,12 @@
     assert {row[1] for row in moved} == {'worker-1'}
 
 
-def test_an_owner_that_loses_its_shard_and_takes_it_back_hears_ends_again():
-    """An owner hears of an end, cannot write it, and loses the shard.
+def test_an_owner_that_takes_its_shard_back_records_ends_again():
+    """An owner receives an end, cannot write it, and loses the shard.
 
-    It takes the shard back later, and the worker still lists the end. An
-    owner that took it for known would start the task again, and the worker
-    would list the end for ever.
+    When it takes the shard back, the worker still lists the end. If the owner
+    treated it as known, the task would start again, and the worker would list
+    the end for ever.
     """
     deployment = settled(workers=1, entries=1, work_ms=lambda task: 1000)
     job = a_job(steps=((2, ()),))
--- a/tests/test_jobs_random.py
+++ b/tests/test_jobs_random.py
@@ -1,4 +1,4 @@
-"""Random days in virtual time; each seed that ever failed stays here."""
+"""Random faults in virtual time; seeds that failed are kept."""
 
 import pytest
 
@@ -10,12 +10,12 @@
     [*((seed, True) for seed in range(6)), (26, False)],
 )
 def test_random_day_keeps_the_promises(seed, has_keepers):
-    """Jobs come while processes, workers, links and the store fail at random.
+    """Jobs arrive while processes, workers, links and the store fail at random.
 
-    The book of the workers asserts that no task runs twice, starts after its
-    end was noted, or takes a worker over its room; afterwards each accepted
-    job has ended, and in all calm each task that lasts runs by the rule's
-    bound. A seed that failed before there were such tasks is played as it was.
+    The workers' record asserts that no task runs twice, starts after its end
+    was recorded, or exceeds a worker's capacity. At the end each accepted job
+    has ended, and without faults each keeper runs within the rule's bound. A
+    seed that failed before there were keepers runs without them.
     """
     day = RandomDay(seed, has_keepers=has_keepers)
     assert not day.play(), day.faults
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner of a shard may start, and for whom it waits."""
+"""Which tasks a new owner of a shard may start, and when it has to wait."""
 
 from dataclasses import replace
 from functools import partial
@@ -19,10 +19,11 @@
 
 
 def test_a_vm_that_left_for_good_does_not_hold_up_later_owners():
-    """A VM is taken away, and later the owner dies; then a keeper fails.
+    """Guards against an 18 s wait for the agent of a VM that was lost before.
 
-    The next owner read the lost VM's agent from the store and waited 18 s for
-    it before it started anything again. The keeper was away for all of that.
+    A VM is removed, later the owner dies, and a keeper fails. The new owner
+    read the lost agent from the roster and restarted nothing until the wait
+    was over.
     """
     deployment = settled(workers=3, work_ms=lambda task: 60_000)
     job = a_job(steps=((2, ()),), is_keeper=True)
@@ -43,12 +44,12 @@
     assert len(starts_of(deployment, job)) == 3
 
 
-def test_jobs_that_wait_for_room_are_not_held_up_by_a_vm_that_left():
-    """A VM left for good, and the owner dies while a job waits for room.
+def test_jobs_that_wait_for_capacity_are_not_held_up_by_a_lost_vm():
+    """A VM is lost, and the owner dies while a job waits for capacity.
 
-    The next owner knows nothing of the job's tasks: they may have been started
-    on any agent of the roster. The lost VM's agent is not on it any more, so
-    that they start as soon as there is room.
+    To the new owner, the job's tasks may run on any agent of the roster. The
+    lost agent must have been removed from it, so that they start as soon as
+    there is capacity.
     """
     deployment = settled(workers=3, work_ms=lambda task: 17_000)
     deployment.workers[2].is_dark = True
@@ -66,11 +67,10 @@
 
 
 def test_a_task_that_a_new_owner_has_seen_needs_no_roster():
-    """A VM goes dark, the owner dies with it, and a keeper elsewhere fails.
+    """A VM becomes unreachable, the owner dies, and another VM's keeper fails.
 
-    Nothing can be known of the dark VM for seconds. The keeper that failed was
-    seen running by the new owner, so that it runs nowhere else: it starts
-    again at once.
+    The state of the unreachable VM is unknown for seconds. The new owner has
+    seen the keeper running elsewhere, so it may restart it at once.
     """
     deployment = settled(workers=3, work_ms=lambda task: 60_000)
     job = a_job(steps=((3, ()),), is_keeper=True, max_per_worker=1)
@@ -85,11 +85,11 @@
     assert len(starts_of(deployment, job)) == before + 1
 
 
-def test_a_next_step_starts_although_an_agent_is_not_heard():
-    """A VM goes dark and the owner dies while a first step runs elsewhere.
+def test_a_next_step_starts_although_an_agent_has_not_reported():
+    """A VM is unreachable and the owner dies while a first step runs elsewhere.
 
-    The step was not done when the owner died: no task of the next step can
-    have been started by it, on the dark VM or anywhere.
+    As that step was not done, the dead owner cannot have started the next one
+    on any VM. The new owner need not wait for the unreachable VM.
     """
     deployment = settled(workers=2, work_ms=lambda task: 7000)
     deployment.cut_off('agent-0')
@@ -107,10 +107,10 @@
 
 
 def test_an_owner_that_comes_back_waits_for_its_own_last_grants_only():
-    """All entries are restarted while a VM is dark for good.
+    """All entries are restarted after a VM was lost.
 
-    The first one to come back is the former owner's successor under the same
-    name: the former process is dead, and its last grants end 8.4 s later.
+    The new owner has the same name as the former one, so that the former
+    process is certainly dead: only its last grants, 8.4 s, count.
     """
     deployment = settled(workers=2, entries=1, work_ms=lambda task: 60_000)
     job = a_job(steps=((4, ()),))
@@ -127,11 +127,11 @@
 
 
 def test_an_end_of_an_occurrence_that_a_new_owner_has_not_opened_counts():
-    """An occurrence ends while nobody owns the shard.
+    """Guards against a task that runs again after its end was dropped.
 
-    The new owner opens occurrences a moment after it has read the shard; the
-    agents' lists come earlier. An end of an occurrence that it did not know
-    was acknowledged without being kept, and the task ran again.
+    An occurrence ends while the shard has no owner. Reports reach the new
+    owner before it has opened the occurrence: it acknowledged the end without
+    recording it.
     """
     deployment = settled(work_ms=lambda task: 2500)
     first_ms = int(deployment.wall_ms()) + 1000
@@ -149,10 +149,10 @@
 
 
 def test_an_agent_that_comes_back_is_listed_before_it_gets_a_task():
-    """A VM is away for so long that it is struck off, and returns.
+    """A VM returns after its agent was removed from the roster.
 
-    The store is down, so that the agent cannot be listed. Given a task then,
-    it would not be waited for by the next owner, which knows nothing of it.
+    The store is down, so that the agent cannot be listed. It must get no task
+    until then, as the next owner would not wait for an unlisted agent.
     """
     deployment = Deployment(workers=1)
     deployment.run(3)
@@ -172,11 +172,11 @@
     assert listed_agents(deployment) == ['agent-0']
 
 
-def test_a_late_removal_does_not_take_off_an_agent_that_is_back():
-    """The store removes an agent's row five seconds after it was asked to.
+def test_a_delayed_removal_does_not_remove_an_agent_that_is_back():
+    """The store applies the removal of an agent's row five seconds late.
 
-    The agent has come back and is listed again by then, with tasks: without
-    its row the next owner would not wait for it.
+    By then the agent is back and listed again, with tasks. Without its row
+    the next owner would not wait for it.
     """
     deployment = Deployment(workers=2)
     deployment.run(3)
@@ -202,7 +202,7 @@
 
 
 def forget_job(deployment, job):
-    """Let the owner know nothing of a job that runs."""
+    """Remove a running job from the owner's memory."""
     core = deployment.entries[deployment.owner].core
     owned = core.owner.shards.by_shard[0]
     record = owned.by_job.pop(job.job_id)
@@ -213,11 +213,11 @@
 
 
 def test_a_running_task_of_a_job_that_is_found_later_is_not_started_again():
-    """A former owner starts a job just after its successor read the shard.
+    """Guards against a second run of a task of a job that is found by a poll.
 
-    The successor hears of a task of a job that it does not know. It stopped
-    the task, found the job by a poll a moment later, and started the task
-    elsewhere while the first run was still stopping.
+    A former owner starts the job just after the new owner read the shard. The
+    new owner stopped the unknown task, found the job a moment later, and
+    started the task elsewhere while the first run was still stopping.
     """
     deployment = settled(work_ms=lambda task: 3000)
     job = a_job(steps=((3, ()),))
@@ -231,12 +231,12 @@
     assert deployment.state(job.job_id, deployment.owner) is JobState.COMPLETED
 
 
-def test_a_job_that_is_not_found_has_its_whole_time_under_each_reign():
-    """An owner hears of a job that it does not know, and loses the shard.
+def test_the_timeout_of_an_unknown_job_begins_anew_under_each_epoch():
+    """Guards against tasks of a valid job that are stopped after a takeover.
 
-    It takes the shard back and hears of the job again,
-    before its row is found. Counted from the first time, the job would be given
-    up at once: its tasks were stopped, although they do what was asked.
+    An owner receives reports of an unknown job, loses the shard and takes it
+    back before the job's row is found. The timeout counted from the first
+    report, so that the tasks were stopped at once.
     """
     deployment = settled(work_ms=lambda task: 30_000)
     job = a_job(steps=((2, ()),))
@@ -252,12 +252,12 @@
     assert not deployment.book.ends
 
 
-def test_an_owner_gives_up_when_an_agent_tells_of_another_one():
-    """The store turns the owner away, and another entry takes the shard.
+def test_an_owner_drops_its_shard_when_an_agent_reports_a_newer_epoch():
+    """Guards against a start that a former owner repeats 50 times a second.
 
-    It has no path to its peers either. The former owner still has authority for seconds, and starts an occurrence
-    that is due. Agents refuse, as they know the newer owner; it sent the same
-    start again and again, fifty times a second.
+    The store and the peers are unreachable to the owner, and another entry
+    takes the shard. The former owner's lease lasts for seconds: it starts an
+    occurrence that is due, which the agents refuse.
     """
     deployment = settled(work_ms=lambda task: 500)
     first_ms = int(deployment.wall_ms()) + 1000
@@ -274,11 +274,12 @@
 
 
 def test_a_shard_goes_to_an_entry_with_far_more_processor_time():
-    """The first entry to start is a weak one, and takes the shard.
+    """Guards against a planner that is too weak for its agents.
 
-    With 61 agents to hear it was silent to all of them for seconds after a
-    loss of power, while it renewed its row and seemed well. It gives the shard
-    up for a strong one; tasks run on and none runs twice.
+    The first entry to start has little processor time and takes the shard.
+    With 61 agents it sent no grants for seconds after a power loss, while it
+    still renewed its row. It must release the shard to a stronger entry; tasks
+    run on and none runs twice.
     """
     deployment = Deployment(
         cores_by_entry={'entry-0': 0.5, 'entry-1': 0.5, 'entry-2': 2},
@@ -296,9 +297,9 @@
 
 
 def lose_power(deployment):
-    """All processes and workers stop at once, and are back a second later.
+    """Stop all processes and workers, and start them a second later.
 
-    A worker that is dark has gone for good: its agent comes back alone.
+    The agent of a worker that is dark comes back without it.
     """
     for name in deployment.agents:
         deployment.kill_agent(name)
@@ -314,7 +315,7 @@
 
 
 def idle_worker(deployment):
-    """The number of a worker that runs nothing."""
+    """Return the number of a worker that runs nothing."""
     return next(
         number
         for number, worker in enumerate(deployment.workers)
@@ -322,8 +323,8 @@
     )
 
 
-def keepers_on_two_of_three(**options):
-    """Three workers; each of two keepers has one of its own."""
+def deploy_two_keepers(**options):
+    """Return three workers, two of which run one keeper each."""
     deployment = settled(workers=3, work_ms=lambda task: 60_000, **options)
     job = a_job(steps=((2, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
@@ -332,14 +333,13 @@
 
 
 def test_an_agent_that_has_no_worker_holds_up_no_keeper():
-    """A worker is lost for good while its agent stays; later power is lost.
+    """Guards against a 6.3 s wait of all jobs for an agent without a worker.
 
-    The next owner read the agent from the roster. It came back without a
-    worker, and so could not show for 6.3 s that no hold of its predecessor
-    lasts: all keepers and all jobs waited for it. The owner before had known
-    for long that nothing runs there.
+    A worker is lost while its agent stays; later power is lost. The agent
+    returns without a worker and cannot show that no hold of its predecessor
+    lasts. The former owner must have removed it from the roster.
     """
-    deployment, job = keepers_on_two_of_three()
+    deployment, job = deploy_two_keepers()
     deployment.workers[idle_worker(deployment)].is_dark = True
     deployment.run(10)
     lose_power(deployment)
@@ -348,13 +348,13 @@
 
 
 def test_an_agent_whose_worker_is_silent_for_a_moment_is_waited_for():
-    """A worker runs a keeper and is cut from its agent; then entries restart.
+    """A worker with a keeper is cut off from its agent, then the owner dies.
 
-    What says that nothing runs there is not true yet: the keeper is held for
-    seconds. Struck off now, its agent would not be waited for, and the keeper
-    would run twice.
+    The keeper's hold lasts for seconds. If the agent were removed from the
+    roster now, the next owner would not wait for it, and the keeper would run
+    twice.
     """
-    deployment, job = keepers_on_two_of_three()
+    deployment, job = deploy_two_keepers()
     number = next(
         number for number, each in enumerate(deployment.workers) if each.runs
     )
@@ -368,10 +368,10 @@
 
 
 def test_an_agent_that_gets_a_worker_again_is_listed_before_its_first_task():
-    """A worker was lost and its agent struck off; a new life of it begins.
+    """A worker was lost, its agent removed, and a new incarnation starts.
 
-    The next owner must find the agent on the roster, or it would start what
-    runs there a second time.
+    The next owner must find the agent on the roster, or it would start the
+    tasks there a second time.
     """
     deployment = settled(workers=1, work_ms=lambda task: 60_000)
     worker = deployment.workers[0]
@@ -393,13 +393,13 @@
 
 
 def test_a_restarted_owner_takes_its_shard_at_once():
-    """All entries lose power and are back a second later.
+    """Guards against a second without an owner after a power loss.
 
-    The owner's next process knows that the former one is dead. It looked for
-    free shards before its row was written, which it needs first, and again a
-    second later only: nothing was started meanwhile.
+    The owner's next process knows that the former one is dead. It checked for
+    free shards before its first renewal, which it needs, and then a second
+    later only.
     """
-    deployment, _job = keepers_on_two_of_three()
+    deployment, _job = deploy_two_keepers()
     owner = deployment.owner
     lose_power(deployment)
     deployment.run(0.2)
@@ -407,10 +407,10 @@
 
 
 def test_a_hold_that_was_sent_to_a_silent_worker_counts():
-    """A worker takes holds and its answers are lost, for a moment.
+    """A worker receives holds for a moment while its responses are lost.
 
-    Its agent sent the last one 1.5 s after it had heard of it: tasks may be
-    held for so much longer than a hold lasts from the last answer.
+    Its agent sent the last hold 1.5 s after the last response: the tasks may
+    run for that much longer than a hold that counts from the response.
     """
     deployment = settled(workers=1, work_ms=lambda task: 60_000)
     core = deployment.entries[deployment.owner].core
--- a/tests/test_jobs_unheard_grants.py
+++ b/tests/test_jobs_unheard_grants.py
@@ -1,6 +1,6 @@
-"""Agents that a new owner has granted, and that it has not heard.
+"""Agents with a grant of a new owner but no report to it.
 
-The workers' book asserts all the while that no task runs twice.
+In all tests the workers' record asserts that no task runs twice.
 """
 
 from twisted.internet.defer import Deferred
@@ -16,8 +16,8 @@
 FAR_S = 0.8
 
 
-def lasting(workers=3):
-    """One lasting task on each worker."""
+def deploy_keepers(workers=3):
+    """Return a deployment with a keeper's task on each worker."""
     deployment = settled(
         Deployment(workers=workers, work_ms=lambda task: FOREVER_MS)
     )
@@ -29,17 +29,17 @@
 
 
 def run_until_loaded(deployment):
-    for _each in range(1000):
+    for _step in range(1000):
         deployment.run(0.01)
         for entry in deployment.entries.values():
             for owned in entry.core.owner.shards.by_shard.values():
                 if entry.is_alive and owned.is_loaded:
                     return owned
-    raise AssertionError('nobody has taken the shard')
+    raise AssertionError('no entry has taken the shard')
 
 
-def far_after_first():
-    """The agent's first message to each entry is quick, the next ones not."""
+def slow_after_first_message():
+    """Return delays: only an agent's first message to an entry is fast."""
     met = set()
 
     def link_s(_now, sender, receiver):
@@ -50,8 +50,8 @@
     return link_s
 
 
-def granted_unheard(deployment):
-    """Let a new owner grant an agent that it has not heard; return it."""
+def grant_before_report(deployment):
+    """Let a new owner grant an agent without a report; return the shard."""
     deployment.cut_off(LATE)
     name = deployment.owner
     deployment.kill_entry(name)
@@ -59,9 +59,9 @@
     owned = run_until_loaded(deployment)
     deployment.run(0.6)
     deployment.heal(LATE)
-    deployment.link_s = far_after_first()
+    deployment.link_s = slow_after_first_message()
     fleet = deployment.entries[deployment.owner].core.fleet
-    for _each in range(400):
+    for _step in range(400):
         deployment.run(0.01)
         known = fleet.by_agent.get(LATE)
         if known and known.granted_at:
@@ -71,42 +71,42 @@
     return owned
 
 
-def test_an_agent_that_was_granted_before_it_was_heard_is_waited_for():
-    """An agent is granted for its first report and cut off before the next.
+def test_an_agent_with_a_grant_before_its_first_report_is_waited_for():
+    """An agent gets a grant for its first report and is then cut off.
 
-    A wait that counts from the takeover ends while that grant lasts, and the
-    agent's task runs a second time.
+    A wait that counts from the takeover would end while that grant lasts, and
+    the agent's task would run a second time.
     """
-    deployment = lasting()
-    granted_unheard(deployment)
+    deployment = deploy_keepers()
+    grant_before_report(deployment)
     deployment.cut_off(LATE)
     deployment.run(GRANT_EXPIRY_MS / 1000 + 12)
 
 
-def test_a_planned_stop_tells_of_grants_to_agents_that_were_not_heard():
-    """The next owner waits no longer than a former one says that it must.
+def test_a_planned_stop_reports_grants_to_agents_without_a_report():
+    """The next owner waits only as long as the former one reports.
 
-    Told only of the wait that the former owner itself began with, it would
-    start the agent's task while the former owner's grant lasts.
+    If that were the wait with which the former owner began, the agent's task
+    would be started while the former owner's grant lasts.
     """
-    deployment = lasting()
-    granted_unheard(deployment)
+    deployment = deploy_keepers()
+    grant_before_report(deployment)
     deployment.cut_off(LATE)
     entry = deployment.entries[deployment.owner]
     entry.reactor.run(entry.core.release)
     deployment.run(GRANT_EXPIRY_MS / 1000 + 12)
 
 
-def test_two_planned_stops_in_a_row_forget_no_grant():
-    """An agent is cut off; its owner stops, and then the next one, as planned.
+def test_two_planned_stops_in_a_row_keep_all_grants():
+    """An agent is cut off; its owner and the next one stop as planned.
 
-    The second had not heard the agent and told nothing of its grant: the third
-    owner started the agent's task while it ran.
+    The second owner had no report of the agent and omitted its grant: the
+    third owner started the agent's task while it ran.
     """
-    deployment = lasting()
+    deployment = deploy_keepers()
     deployment.run(1)
     deployment.cut_off(LATE)
-    for _each in range(2):
+    for _step in range(2):
         name = deployment.owner
         entry = deployment.entries[name]
         entry.reactor.run(entry.core.release)
@@ -117,11 +117,11 @@
 
 
 class RetriedLoad:
-    """The store of an owner whose first load fails, and whose second is slow.
+    """Lets an owner's first load fail, and delays its second one.
 
     Attributes:
-        is_held: The agents' rows are read for the second time, and are told
-            some time later.
+        is_held: Whether the agents' rows were read for the second time and
+            are being delayed.
     """
 
     def __init__(self, deployment, monkeypatch):
@@ -146,31 +146,32 @@
     def _hold(self, page):
         self.is_held = True
         self._is_failing = False
-        told = Deferred()
-        self._reactor.callLater(0.8, told.callback, page)
-        return told
+        delayed = Deferred()
+        self._reactor.callLater(0.8, delayed.callback, page)
+        return delayed
 
 
-def test_a_retried_load_does_not_bring_back_an_agent_s_absence(monkeypatch):
-    """An agent's row is taken back, and it is granted, between two loads.
+def test_a_retried_load_does_not_restore_an_agent_s_expiry(monkeypatch):
+    """The expiry in an agent's row is removed between two loads.
 
-    The rows of the second load were read before. Taken over, they say until
-    when an earlier owner had granted the agent, and its task runs twice.
+    The rows of the second load were read before that. If they were used, the
+    next owner would rely on the old expiry, and the agent's task would run
+    twice.
     """
-    deployment = lasting()
+    deployment = deploy_keepers()
     deployment.cut_off(LATE)
     deployment.run(6)
     name = deployment.owner
     load = RetriedLoad(deployment, monkeypatch)
     deployment.kill_entry(name)
     deployment.start_entry(name)
-    for _each in range(500):
+    for _step in range(500):
         deployment.run(0.01)
         if load.is_held:
             break
     deployment.heal(LATE)
     fleet = deployment.entries[name].core.fleet
-    for _each in range(100):
+    for _step in range(100):
         deployment.run(0.01)
         known = fleet.by_agent.get(LATE)
         if known and known.granted_at:
