--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -161,9 +161,9 @@
         elif not message.is_passed_on:
             # Forward it once. Without the notice the owner finds the job by
             # a poll and must assume that a former owner has started it.
-            passed_on = replace(message, is_passed_on=True)
+            forwarded = replace(message, is_passed_on=True)
             owner = self._membership.owner_of(shard)
-            self._peers.to_entry(owner, passed_on)
+            self._peers.to_entry(owner, forwarded)
 
     @handle_message.register
     def _handle_shard_released(
--- a/hyssopring/jobs/entry_membership.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -100,7 +100,7 @@
         self._unknown_owner_since: dict[int, float] = {}
         # By owner row version: when its owner was first known to have ended.
         # An agent that leaves after that received no later orders of it.
-        self._over_since: dict[int, float] = {}
+        self._former_ended_at: dict[int, float] = {}
         self._is_stopping = False
         self.owned: Callable[[], tuple[int, ...]] = tuple
         self.on_acquired: Callable[[AcquiredShard], None] = _ignore_shard
@@ -323,7 +323,9 @@
         takeover = Takeover.from_page(shard, row, page)
         unconfirmed_owner = takeover.unconfirmed_owner(self.is_dead)
         if unconfirmed_owner is None:
-            self._over_since.setdefault(takeover.version, self._clock.now())
+            self._former_ended_at.setdefault(
+                takeover.version, self._clock.now()
+            )
         if not self._is_first_in_line(shard, takeover.former):
             return None
         unconfirmed = takeover.unconfirmed_owners(self.is_dead)
@@ -338,7 +340,7 @@
             in_doubt=unconfirmed,
             confirmed_at=sent_at,
             former=unconfirmed_owner,
-            over_since=self._over_since.get(takeover.version),
+            over_since=self._former_ended_at.get(takeover.version),
             roster=takeover.next_roster,
         )
         return deferred.addCallback(self._on_takeover, acquired)
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -8,7 +8,7 @@
 from hyssopring.jobs.messages import ShardReleased
 from hyssopring.jobs.times import GRANT_EXPIRY_MS, ROSTER_WAIT_MS
 
-__all__ = ('FormerOwner', 'AcquiredShard')
+__all__ = ('AcquiredShard', 'FormerOwner')
 
 
 @dataclass(frozen=True, slots=True)
--- a/hyssopring/jobs/handover.py
+++ b/hyssopring/jobs/handover.py
@@ -13,9 +13,9 @@
 ) -> ShardReleased:
     """Return the message about a shard that this entry has just dropped.
 
-    It names the agents that reported under this epoch with this owner's last
-    grant. To the other agents a former owner may have sent a later grant: each
-    of them that may still run tasks is named with the later expiry of both.
+    It contains the age of this owner's last grant to each agent that reported
+    under this epoch. To another agent a former owner may have sent a later
+    grant: if it may still run tasks, the later one of both is included.
     """
     expiry_by_agent = {
         agent_id: fleet.grant_expires_at(agent_id)
@@ -43,7 +43,7 @@
 
 
 class ReleasedShards:
-    """Keeps the last such message of each shard.
+    """Keeps the last release message of each shard.
 
     It may arrive before or after this entry has taken the shard.
     """
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -71,7 +71,7 @@
         self._may_act = may_act
         self._wall_ms = wall_ms
         self.shards = OwnedShards()
-        self._advice = TicketManager(
+        self._ticket_manager = TicketManager(
             reactor,
             clock,
             advice,
@@ -80,7 +80,7 @@
             may_act,
             wall_ms,
         )
-        self._advice.on_tickets = self.schedule_planning
+        self._ticket_manager.on_tickets = self.schedule_planning
         self._suspects = CrashSuspects(clock, fleet)
         self._planner = StepPlanner(
             reactor,
@@ -90,7 +90,7 @@
             send,
             may_act,
             wall_ms,
-            self._advice,
+            self._ticket_manager,
             self._suspects,
         )
         self.waits = KeeperWaitMonitor(
@@ -98,10 +98,10 @@
             fleet,
             self.shards,
             may_act,
-            self._advice,
+            self._ticket_manager,
             self._suspects,
         )
-        self._stalls = StallDetector(clock)
+        self._stall_detector = StallDetector(clock)
         self._reconciler = ReportReconciler(
             clock,
             fleet,
@@ -114,7 +114,7 @@
             fleet,
             self.shards,
             self.stop,
-            self._advice,
+            self._ticket_manager,
             self._planner.interference,
         )
 
@@ -238,7 +238,7 @@
         is_settled = message.reason != RUNNING_HERE
         if placed and placed.number == message.attempt and is_settled:
             if message.reason == BAD_TICKET:
-                self._advice.record_rejection(placed.name, placed.boot)
+                self._ticket_manager.record_rejection(placed.name, placed.boot)
             elif message.reason in _WORKERS_REASONS:
                 worker.refused_at = self._clock.now()
             self._reconciler.record_attempt_lost(worker, placed, message.reason)
@@ -273,10 +273,10 @@
                 self._fleet.schedulable_workers()
             )
             self._moves.relieve(candidates)
-        if self._stalls.record_tick():
+        if self._stall_detector.record_tick():
             self._expire_lost_attempts(now_ms)
         self._add_to_roster()
-        self._advice.check()
+        self._ticket_manager.check()
         self.waits.check()
         self.schedule_planning()
 
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -172,9 +172,7 @@
     ) -> None:
         name = TaskName.from_text(attempt_report.task)
         record = owned.by_job.get(name.job_id)
-        if record is None and not self._unknown_jobs.is_given_up_on(
-            name.job_id
-        ):
+        if record is None and not self._unknown_jobs.has_timed_out(name.job_id):
             return
         placed = worker.placed_by_task.get(attempt_report.task)
         if placed is None or placed.number < attempt_report.attempt:
@@ -279,9 +277,7 @@
             return
         name = TaskName.from_text(end.task)
         record = owned.by_job.get(name.job_id)
-        if record is None and not self._unknown_jobs.is_given_up_on(
-            name.job_id
-        ):
+        if record is None and not self._unknown_jobs.has_timed_out(name.job_id):
             return
         self._seen_ends.add(ack, owned.shard)
         if record is None or record.step_run_of(name) is None:
--- a/hyssopring/jobs/roster.py
+++ b/hyssopring/jobs/roster.py
@@ -138,9 +138,9 @@
     def set_tasks(self, agent_id: str, tasks: Iterable[str]) -> None:
         """Set the keepers' tasks that an agent may run."""
         entry = self._entry_by_agent.get(agent_id)
-        stored = tuple(sorted(tasks))
-        if entry is not None and entry.wanted.tasks != stored:
-            entry.want_row(replace(entry.wanted, tasks=stored))
+        wanted_tasks = tuple(sorted(tasks))
+        if entry is not None and entry.wanted.tasks != wanted_tasks:
+            entry.want_row(replace(entry.wanted, tasks=wanted_tasks))
             self.write()
 
     def set_expiries(
@@ -159,12 +159,12 @@
             over_ms = store_clock.latest_reading(expires_at)
             if entry is None or not _is_earlier(entry.wanted.over_ms, over_ms):
                 continue
-            stored = replace(
+            wanted = replace(
                 entry.wanted, over_ms=over_ms, reign=self._epoch_rows.row.reign
             )
             entry.grant_expires_at = expires_at
             entry.may_be_suspended = True
-            entry.want_row(stored)
+            entry.want_row(wanted)
         self.write()
 
     def clear_expiry(self, agent_id: str) -> None:
@@ -311,8 +311,5 @@
 
 
 def _ignore_store_failure(failure: TwistedFailure) -> None:
-    """Ignore a failed write, which is retried.
-
-    Until then a listed agent only prolongs the next owner's wait.
-    """
+    """Ignore a failed write; a row that stays prolongs the next wait."""
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/unknown_jobs.py
+++ b/hyssopring/jobs/unknown_jobs.py
@@ -21,7 +21,7 @@
         self._clock = clock
         self._since_by_job: dict[str, float] = {}
 
-    def is_given_up_on(self, job_id: str) -> bool:
+    def has_timed_out(self, job_id: str) -> bool:
         """Whether a reported job was unknown for too long to be found.
 
         The first call for a job starts its timeout.
