--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -81,13 +81,13 @@
     before = FormerOwnerProcess('b', 'process', 1)
     taken = AcquiredShard(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
     former = FormerOwner(clock, taken)
-    message = ShardReleased(0, 4, [AgentGrant('heard', 20)], wait_ms=8300)
+    message = ShardReleased(0, 4, [AgentGrant('reported', 20)], wait_ms=8300)
     former.record_release(message, 0)
     clock.advance(8335)
-    assert former.grant_expires_at('not-heard') < clock.now()
-    assert former.grant_expires_at('heard') >= clock.now()
+    assert former.grant_expires_at('unreported') < clock.now()
+    assert former.grant_expires_at('reported') >= clock.now()
     clock.advance(20)
-    assert former.grant_expires_at('heard') < clock.now()
+    assert former.grant_expires_at('reported') < clock.now()
 
 
 def test_an_owner_row_is_a_sign_of_life_of_its_entry():
