--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -1,8 +1,9 @@
-"""The agent's part in jobs: the only caller of its worker.
+"""Runs the tasks of jobs on one worker, on behalf of the shards' owners.
 
-Owners order, the agent carries out what fits, and tells each owner all that
-runs, has ended or may still start. An owner that is new learns from it what
-its predecessor had started.
+The agent is the only client of its worker. It carries out the owners' start
+and stop orders and reports to each owner the attempts of its shards that are
+running, have ended or may still start. A new owner learns from these reports
+what its predecessor started.
 """
 
 from functools import singledispatchmethod
@@ -37,15 +38,22 @@
 
 __all__ = ('JobAgentCore',)
 
-# How long a new agent waits for the owners of the tasks that it finds. Links
-# are made within half a second; the hold of its predecessor lasts longer.
+# How long an agent waits for grants from the owners of the running tasks that
+# it finds. Connections take up to 500 ms; the hold that its predecessor set
+# lasts longer than this.
 _GRANTS_WAIT_MS: Final = 1500.0
 
 Send = Callable[[str, JobsMessage], None]
 
 
 class JobAgentCore:
-    """Takes owners' orders for one worker."""
+    """Handles the entries' messages and reports to them for one worker.
+
+    Attributes:
+        monitor: Polls the worker and extends the hold on its tasks.
+        table: The attempts that use resources of the worker.
+        shutdown: State of the process's shutdown.
+    """
 
     def __init__(
         self,
@@ -55,9 +63,12 @@
         send: Send,
         wall_ms: Callable[[], float],
     ) -> None:
-        """Talk to the worker by ``port`` and to entries by ``send``.
+        """Start polling when the worker announces itself.
 
-        ``wall_ms`` tells the milliseconds since 1970.
+        Args:
+            port: Calls to the worker.
+            send: Sends a message to the entry of the given ID.
+            wall_ms: Returns the milliseconds since 1970.
         """
         self._reactor = reactor
         self._clock = clock
@@ -87,7 +98,8 @@
         self._reported_at_by_entry: dict[str, float] = {}
         self._taken = ReceivedStarts()
         self._is_report_due = False
-        # What a silent worker had when it was given up: it may have crashed.
+        # Attempts of a silent worker whose hold expired; it may have crashed,
+        # which its next incarnation will show.
         self._lapsed_attempts: list[Attempt] = []
         self._met_at = clock.now()
         self.monitor.on_boot = self._new_boot
@@ -99,26 +111,26 @@
         self.monitor.recorded = self._ends.durable_up_to
 
     def connected(self, entry_id: str) -> None:
-        """An entry is connected: tell it of the worker."""
+        """Report the worker's state to an entry that has connected."""
         self._report(entry_id)
 
     def disconnected(self, entry_id: str) -> None:
-        """An entry is not connected any more."""
+        """Stop reporting to an entry whose connection is closed."""
         self._reported_at_by_entry.pop(entry_id, None)
 
     def stop(self) -> None:
-        """Start nothing any more; the process ends.
+        """Begin the shutdown: accept no more start orders.
 
-        A worker that stays keeps its tasks for the next agent. Where it leaves
-        or is silent, and runs nothing, each entry is told: the next owner of
-        a shard would wait for an agent that never comes back, and keepers with
-        it.
+        A worker that stays keeps its tasks for the next agent. If the worker
+        is leaving or silent and runs nothing, each entry is notified;
+        otherwise the next owner of a shard would wait for an agent that never
+        returns, and so would its keepers.
         """
         self.shutdown.is_begun = True
         self.shutdown.announce(self._reported_at_by_entry)
 
     def tick(self) -> None:
-        """Regular work; call a few times a second."""
+        """Do periodic work; call a few times a second."""
         now = self._clock.now()
         self.monitor.check()
         for entry_id, reported_at in list(self._reported_at_by_entry.items()):
@@ -130,7 +142,7 @@
 
     @singledispatchmethod
     def take(self, message: JobsMessage, entry_id: str) -> None:
-        """Take an entry's message."""
+        """Handle a message from an entry; log an unexpected type."""
         log_event(
             Event.PEER_ERROR,
             entry=entry_id,
@@ -202,7 +214,7 @@
             self.table.close(message.task, message.attempt)
 
     def _objection(self, order: StartOrder, entry_id: str) -> str:
-        """Why a start is not carried out, empty if it is."""
+        """Return why a start order is refused; empty if it is accepted."""
         facts = order.facts
         if not self._rights.observe_epoch(order.shard, order.reign, entry_id):
             return 'deposed'
@@ -223,15 +235,15 @@
             return 'unsized'
         cpu = 0 if facts.fills else facts.cpu_millis
         size = Size(cpu, facts.memory_mb, facts.accelerators)
-        # What is being stopped counts until the worker has listed its end.
+        # An attempt being stopped counts until the worker has listed its end.
         used = self.table.used().plus(size)
         if not used.fits_in(self.monitor.announced.room):
             return 'room'
         return ''
 
     def _refused(self, attempt: Attempt, reason: str) -> None:
-        """The worker has not taken a start; only a sized one is ever sent."""
-        assert attempt.facts is not None, 'a start comes with its facts'
+        """Pass on that the worker refused a start."""
+        assert attempt.facts is not None, 'every start order has task facts'
         owner = self._rights.owner_of(attempt.shard)
         self._refuse(owner, attempt.shard, attempt.facts, reason)
 
@@ -242,7 +254,7 @@
         facts: TaskFacts,
         reason: str,
     ) -> None:
-        """Tell an entry that a start was not carried out."""
+        """Notify an entry that a start was not carried out."""
         log_event(
             Event.TASK_REFUSED,
             task=facts.task,
@@ -269,24 +281,24 @@
             self._ends.add_crashes(self.monitor.past, lost, now)
         self._lapsed_attempts = []
         self.table.clear()
-        # Orders to the incarnation before that this one has carried out.
+        # A start sent to the previous incarnation may have reached this one.
         self.table.carry_over(before, listing, now)
         self.monitor.recorded = self._ends.durable_up_to
         self._report_soon()
 
     def _lapsed(self) -> None:
-        """The worker is silent, and nothing it was given can still run."""
+        """Drop all attempts: the worker is silent and its hold has expired."""
         self._lapsed_attempts = list(self.table.by_task.values())
         for attempt in list(self.table.by_task.values()):
             self.table.ended(attempt.task, attempt.number)
         self._report_soon()
 
     def _hold_limit(self) -> float:
-        """Until when the worker may keep its tasks.
+        """Return the time up to which the hold may be extended.
 
         A hold covers all tasks of a worker. A new agent finds tasks of shards
-        whose owners it has not heard: to extend the hold for one owner would
-        keep another's tasks alive past their grant.
+        whose owners have not granted it anything yet; extending the hold for
+        one owner would keep another owner's tasks alive past their grant.
         """
         if self._awaits_grants(self._clock.now()):
             return 0
@@ -301,10 +313,11 @@
         )
 
     def _stop_ungranted(self, now: float) -> None:
-        """Stop tasks that another owner's grant would keep alive.
+        """Stop attempts whose own shard has no valid grant.
 
-        Their own owner was not heard of for so long that its successor may
-        count them as ended. Without any grant the hold lapses by itself.
+        Another owner's grant would keep them alive, although their owner's
+        successor may already count them as ended. Without any grant at all,
+        the hold expires by itself.
         """
         for attempt in list(self.table.by_task.values()):
             if self._rights.expiry_of(attempt.shard) <= now:
@@ -326,15 +339,15 @@
                 has_news = True
             self.table.listed(row, now)
         if listing.is_complete:
-            # Else a row that was not read may be any attempt's: taken for
-            # over it would start a second time while it runs.
+            # A row that could not be parsed may belong to any attempt. An
+            # attempt dropped by mistake would start again while it runs.
             has_news |= self.table.drop_unlisted(listed, sent_at)
         self._pacer.tick(self.table.by_task.values())
         if has_news:
             self._report_soon()
 
     def _report_soon(self) -> None:
-        """Report once for all that happens in this turn of the reactor."""
+        """Schedule one report for all changes in this reactor iteration."""
         if not self._is_report_due:
             self._is_report_due = True
             self._reactor.callLater(0, self._report_owners)
--- a/hyssopring/jobs/agent_shutdown.py
+++ b/hyssopring/jobs/agent_shutdown.py
@@ -1,4 +1,4 @@
-"""When an agent's process may end, and whether anything runs on after it."""
+"""Graceful shutdown of an agent's process."""
 
 from typing import Callable, Iterable
 
@@ -10,10 +10,10 @@
 
 
 class AgentShutdown:
-    """The end of one agent's process.
+    """Notifies entries when the agent shuts down and nothing runs any more.
 
     Attributes:
-        is_begun: The process was told to stop, and takes no start any more.
+        is_begun: Whether the shutdown has begun, and no start is accepted.
     """
 
     def __init__(
@@ -23,7 +23,12 @@
         ends: Callable[[], Iterable[EndReport]],
         send: Callable[[str, JobsMessage], None],
     ) -> None:
-        """The process goes on; ``ends`` are those that are not durable."""
+        """Begin in normal operation.
+
+        Args:
+            ends: Returns the ends that are not durable yet.
+            send: Sends a message to the entry of the given ID.
+        """
         self._watch = watch
         self._table = table
         self._ends = ends
@@ -33,15 +38,15 @@
 
     @property
     def can_exit(self) -> bool:
-        """Whether the process may end.
+        """Whether the process may exit.
 
-        Nobody else can tell when the hold of a worker that answers no more is
-        over. Until then owners would have to count from this agent's grant.
+        Only this agent knows when the hold of a silent worker expires. If it
+        exited before, owners would have to wait for its longer grant to expire.
         """
         return self._has_left or self._watch.is_answering
 
     def announce(self, entries: Iterable[str]) -> None:
-        """Tell entries, once, when surely nothing runs here any more."""
+        """Notify entries, once, when nothing can run here any more."""
         if not self.is_begun or self._has_left:
             return
         watch = self._watch
--- a/hyssopring/jobs/announced_state.py
+++ b/hyssopring/jobs/announced_state.py
@@ -1,4 +1,4 @@
-"""What one boot of a worker has last said of itself."""
+"""The announced state of one incarnation of a worker."""
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.model import Size
@@ -10,14 +10,16 @@
 
 
 class AnnouncedState:
-    """Takes a worker's reports about itself; a late one changes nothing.
+    """Tracks a worker's announcements and ignores those out of order.
 
     Attributes:
-        withdrawn_at: When the worker said that it ends, None before that.
+        service: The service that the worker belongs to.
+        labels: The labels of its VM; the kind comes first, the rack last.
+        withdrawn_at: When the worker deregistered, None before that.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Nothing was announced yet."""
+        """Begin without any announcement."""
         self._clock = clock
         self._boot = ''
         self.service = ''
@@ -36,7 +38,7 @@
         announced: Announcement,
         announced_at: float,
     ) -> 'AnnouncedState':
-        """Begin with the report by which a boot was found."""
+        """Begin with the first announcement of an incarnation."""
         state = cls(clock)
         state.update(announced)
         state._announced_at = announced_at
@@ -44,22 +46,22 @@
 
     @property
     def room(self) -> Size:
-        """What the worker has, as it has announced a short while ago."""
+        """Total resources of the worker; none if announced too long ago."""
         age_ms = self._clock.now() - self._announced_at
         return self._room if age_ms <= CAPACITY_TTL_MS else Size()
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the worker gets no new tasks any more."""
+        """Whether the worker accepts no more tasks."""
         return self._is_leaving
 
     @property
     def remaining_ms(self) -> int:
-        """How long a leaving worker still runs at least."""
+        """How long a leaving worker will run at least."""
         return max(0, int(self._leaves_at - self._clock.now()))
 
     def update(self, announced: Announcement) -> bool:
-        """Take a report; True if the room is another one than before."""
+        """Apply an announcement; return whether the resources changed."""
         if announced.sequence < self._sequence:
             return False
         self._boot = announced.boot
@@ -74,7 +76,7 @@
         return has_changed
 
     def withdraw(self) -> None:
-        """The worker says that it ends now."""
+        """Apply a deregistration: the worker leaves at once."""
         self.withdrawn_at = self._clock.now()
         self._leave(0)
 
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts on one worker, as its agent knows them."""
+"""The attempts on one worker, as its agent tracks them."""
 
 import enum
 from dataclasses import dataclass, field, replace
@@ -18,15 +18,20 @@
 )
 
 FULL_PACE = 100
-# A new agent does not know what pace its predecessor has set.
+# A new agent does not know which pace its predecessor set.
 UNKNOWN_PACE = -1
-# Stops and refusals are remembered for the last so many tasks, so that an
-# order that was overtaken by its own stop is not carried out.
+# The number of tasks whose stops and refusals are kept, so that a start that
+# arrives after its own stop is not carried out.
 _MAX_CLOSED = 4000
 
 
 class Phase(enum.Enum):
-    """STARTING: ordered, not confirmed. STOPPING: may still run."""
+    """Progress of an attempt on the worker.
+
+    Attributes:
+        STARTING: The start is unconfirmed.
+        STOPPING: A stop is pending or accepted; the attempt may still run.
+    """
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -35,13 +40,23 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt that takes room on the worker.
+    """An attempt that uses resources of the worker.
+
+    Times are milliseconds on the agent's clock.
 
     Attributes:
-        facts: What it takes; None until an owner has told a new agent.
-        confirmed_at: When the worker confirmed it, None before that.
-        stop_taken_at: When the worker took its stop.
-        is_trial: It was started as a suspect, beside no other start.
+        ordered_at: When this agent accepted the start order, or first saw the
+            attempt in a listing.
+        facts: Its requirements; None on a new agent until an owner sends them.
+        percent: Progress, as the task reports it.
+        load: See ``AttemptReport``.
+        pace: The allowed percentage of its processor time.
+        tries: How often its start was sent to the worker.
+        confirmed_at: When the worker confirmed the start, None before that.
+        stop_taken_at: When the worker accepted its stop, None before that.
+        is_stop_under_way: Whether a stop request is in flight or due to be
+            retried.
+        is_trial: Whether it may crash the worker and was started alone.
     """
 
     task: str
@@ -62,13 +77,13 @@
 
     @property
     def settled_at(self) -> float | None:
-        """When the worker took the last order for it, None before that."""
+        """When the worker accepted the last request for it, None if never."""
         if self.stop_taken_at is not None:
             return self.stop_taken_at
         return self.confirmed_at
 
     def charge(self) -> Size:
-        """What the attempt takes of the worker's room."""
+        """Return the resources of the worker that the attempt uses."""
         facts = self.facts
         if facts is None:
             return Size()
@@ -76,7 +91,7 @@
         return Size(cpu, facts.memory_mb, facts.accelerators)
 
     def update(self, row: WorkerRow, now: float) -> None:
-        """Take over what the worker listed."""
+        """Apply a listed row."""
         self.checkpoint = row.checkpoint
         self.percent = row.percent
         self.load = row.load
@@ -86,7 +101,7 @@
             self.confirmed_at = now
 
     def moved(self, now: float) -> 'Attempt':
-        """Return the attempt as it runs on another boot of the worker."""
+        """Return the attempt as it runs on another incarnation."""
         return replace(
             self,
             phase=Phase.RUNNING,
@@ -97,7 +112,7 @@
         )
 
     def report(self) -> AttemptReport:
-        """Return what an owner is told."""
+        """Return the attempt's part of a report to its owner."""
         return AttemptReport(
             self.task,
             self.number,
@@ -111,17 +126,17 @@
 
 @dataclass
 class AttemptTable:
-    """Attempts by task, and which attempts may never start any more."""
+    """The attempts by task, and which attempts may never start again."""
 
     by_task: dict[str, Attempt] = field(default_factory=dict)
     _closed_by_task: dict[str, int] = field(default_factory=dict)
 
     def add(self, attempt: Attempt) -> None:
-        """Count an attempt against the worker's room from now on."""
+        """Count an attempt against the worker's resources from now on."""
         self.by_task[attempt.task] = attempt
 
     def listed(self, row: WorkerRow, now: float) -> Attempt:
-        """Return the attempt of a listed row, added if it was not known."""
+        """Update the attempt of a listed row, adding it if it is unknown."""
         known = self.by_task.get(row.task)
         if known is None or known.number < row.attempt:
             known = Attempt(
@@ -143,21 +158,27 @@
         listing: Listing,
         now: float,
     ) -> None:
-        """Keep what is known of attempts that another boot lists as running."""
+        """Keep attempts that another incarnation lists as running."""
         listed = {(row.task, row.attempt) for row in listing.rows}
         for attempt in attempts:
             if (attempt.task, attempt.number) in listed:
                 self.add(attempt.moved(now))
 
     def ended(self, task: str, number: int) -> None:
-        """An attempt takes no room any more and never starts again."""
+        """Drop an attempt, and close it against another start."""
         known = self.by_task.get(task)
         if known is not None and known.number <= number:
             self.by_task.pop(task)
         self.close(task, number)
 
     def drop_unlisted(self, listed: set[str], sent_at: float) -> bool:
-        """Drop what was settled before a look and is not in its lists."""
+        """Drop settled attempts that a listing lacks; True if any was.
+
+        Args:
+            listed: The tasks that the listing names.
+            sent_at: When the poll was sent. An attempt counts as settled if
+                the worker accepted its last request before that.
+        """
         dropped = [
             attempt
             for attempt in self.by_task.values()
@@ -170,29 +191,29 @@
         return bool(dropped)
 
     def close(self, task: str, number: int) -> None:
-        """Neither this attempt nor an older one of the task starts here."""
+        """Refuse this attempt and older ones of the task from now on."""
         closed = self._closed_by_task
         closed[task] = max(number, closed.pop(task, 0))
         while len(closed) > _MAX_CLOSED:
             closed.pop(next(iter(closed)))
 
     def is_closed(self, task: str, number: int) -> bool:
-        """Whether this attempt may not start here."""
+        """Return whether this attempt may not start here."""
         return number <= self._closed_by_task.get(task, 0)
 
     @property
     def is_sized(self) -> bool:
-        """Whether it is known what each attempt takes."""
+        """Whether the requirements of all attempts are known."""
         return all(each.facts is not None for each in self.by_task.values())
 
     def used(self) -> Size:
-        """What all attempts take together."""
+        """Return the total resources that the attempts use."""
         total = Size()
         for attempt in self.by_task.values():
             total = total.plus(attempt.charge())
         return total
 
     def clear(self) -> None:
-        """Forget all: another boot of the worker begins."""
+        """Forget all attempts, for a new incarnation of the worker."""
         self.by_task.clear()
         self._closed_by_task.clear()
--- a/hyssopring/jobs/deadlines.py
+++ b/hyssopring/jobs/deadlines.py
@@ -1,4 +1,4 @@
-"""Answers that leave in time, whatever the work behind them does."""
+"""Answers requests by a deadline while their work continues."""
 
 from typing import Any
 
@@ -13,15 +13,15 @@
     seconds: float,
     late_answer: Any,
 ) -> Deferred:
-    """Return what comes first: the work's outcome, or an answer at its time.
+    """Return a deferred of the outcome, or of a default at the deadline.
 
-    The work goes on after a late answer: a write that is under way cannot be
-    taken back, and whoever waits for it has to be told of it all the same.
+    The work is not cancelled at the deadline: a write in flight cannot be
+    undone, and others that wait for it must get its outcome.
 
     Args:
-        working: What is waited for; errors are passed on if in time.
-        seconds: When the late answer is given.
-        late_answer: What is given then.
+        working: The work's outcome; an error before the deadline is passed on.
+        seconds: Time until the deadline.
+        late_answer: The result if the deadline passes first.
     """
     answer: Deferred = Deferred()
     timer = reactor.callLater(
@@ -31,7 +31,7 @@
 
     def ended(outcome: Any) -> Any:  # noqa: WPS430 -- knows the timer
         if not timer.active():
-            # An error that nobody waits for any more is Twisted's to log.
+            # Twisted logs an error that comes after the deadline.
             return outcome
         timer.cancel()
         answer.callback(outcome)
--- a/hyssopring/jobs/discovery.py
+++ b/hyssopring/jobs/discovery.py
@@ -1,4 +1,4 @@
-"""How an agent that knows no entry finds one."""
+"""Discovery of entries by an agent that is connected to none."""
 
 import random
 from typing import Any, Final
@@ -19,17 +19,18 @@
 
 __all__ = ('EntryDiscovery',)
 
-# Seeds answer within a few ms; an agent without any entry for this long asks
-# the store, again after the second time, spread over the agents.
+# Seeds answer within a few ms. An agent without a connection for the first
+# time reads the store, and repeats after one to two times the second, randomly
+# so that agents do not read it at once.
 _ALONE_MS: Final = 800.0
 _AGAIN_MS: Final = 1500.0
 
 
 class EntryDiscovery:
-    """Reads the entries' rows while none of the known addresses answers.
+    """Reads the entries' rows from the store while no entry is connected.
 
-    Seeds may all be stale: after a restart of everything agents dialled
-    machines that were gone, and no task ran any more.
+    After a restart of the whole deployment all seeds may be stale: agents that
+    know only those reach no entry, and no task runs.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         dialler: LinkDialler,
         rng: random.Random,
     ) -> None:
-        """Teach ``dialler`` what is found."""
+        """Pass addresses of entries to ``dialler``."""
         self._clock = clock
         self._store = store
         self._dialler = dialler
@@ -48,7 +49,7 @@
         self._odd = RowParser()
 
     def tick(self) -> None:
-        """Look at the connections; call a few times a second."""
+        """Read the store if needed; call a few times a second."""
         now = self._clock.now()
         if self._dialler.connected:
             self._next_at = now + _ALONE_MS
@@ -66,5 +67,5 @@
 
 
 def _later(failure: TwistedFailure) -> Any:
-    """The next turn tries again."""
+    """Ignore an error of the store; a later call tries again."""
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/orders.py
+++ b/hyssopring/jobs/orders.py
@@ -1,4 +1,4 @@
-"""Carries starts, stops and paces to the worker until they are settled."""
+"""Sends starts, stops and paces to the worker, with retries."""
 
 from typing import Any, Callable, Final
 
@@ -19,15 +19,16 @@
 
 __all__ = ('WorkerOrders',)
 
-# An order without an answer is repeated: the same attempt starts once only.
+# Delay before an unanswered request is repeated. A worker starts the same
+# attempt only once.
 _REPEAT_MS: Final = 100.0
-# After so many sendings a start is given up, by a stop that also keeps
-# copies still under way from being carried out.
+# After this many tries a start is abandoned with a stop, which also keeps
+# copies in flight from being carried out.
 _MAX_TRIES: Final = 6
 
 
 class WorkerOrders:
-    """Owns the calls under way for one worker's attempts."""
+    """Sends the requests for the attempts of one worker."""
 
     def __init__(
         self,
@@ -38,7 +39,12 @@
         table: AttemptTable,
         on_refused: Callable[[Attempt, str], None],
     ) -> None:
-        """Report starts that did not happen to ``on_refused``."""
+        """Send requests by ``port``.
+
+        Args:
+            on_refused: Called with an attempt that the worker refused to start
+                and the reason.
+        """
         self._reactor = reactor
         self._clock = clock
         self._port = port
@@ -47,13 +53,13 @@
         self._on_refused = on_refused
 
     def start(self, order: StartOrder, attempt: Attempt) -> None:
-        """Send a start, again until it is answered or given up."""
+        """Send a start, and repeat it until it is answered or abandoned."""
         if not self._is_current(order.boot, attempt):
             return
         if attempt.phase is not Phase.STARTING:
             return
         if not self._watch.is_answering:
-            # It would be carried out by whichever incarnation comes next.
+            # The next incarnation might carry it out.
             self._again(self.start, order, attempt)
             return
         if attempt.tries >= _MAX_TRIES or not self._has_room(attempt):
@@ -82,14 +88,14 @@
         )
 
     def stop(self, attempt: Attempt) -> None:
-        """Stop an attempt, again until the worker has taken the order."""
+        """Stop an attempt; repeat until the worker accepts the stop."""
         attempt.phase = Phase.STOPPING
         if attempt.is_stop_under_way or attempt.stop_taken_at is not None:
             return
         self._send_stop(self._watch.boot, attempt)
 
     def set_pace(self, attempt: Attempt, percent: int) -> None:
-        """Let an attempt work at this share of its processor time."""
+        """Limit an attempt to this percentage of its processor time."""
         attempt.pace = percent
         watch = self._watch
         asked = self._port.set_pace(
@@ -145,14 +151,14 @@
             self._on_refused(attempt, outcome.value)
 
     def _copy_refused(self, outcome: StartOutcome, attempt: Attempt) -> None:
-        """A start was refused of which an earlier copy had no answer.
+        """Handle the refusal of a repeated start.
 
-        That copy may be carried out later, and a refusal speaks for its own
-        only. Told as not started, the task would start elsewhere and then
-        here as well; a stop that the worker has taken bars all copies.
+        An earlier, unanswered copy may still be carried out. If the attempt
+        were reported as refused, the task would start elsewhere and then here
+        as well. An accepted stop invalidates all copies.
         """
         if outcome is StartOutcome.OLD:
-            # An earlier copy ran: the worker lists how it ended.
+            # An earlier copy ran; the listing contains its end.
             attempt.confirmed_at = self._clock.now()
         else:
             self.stop(attempt)
@@ -177,12 +183,12 @@
         self._reactor.callLater(_REPEAT_MS / MILLIS_PER_SECOND, again, *order)
 
     def _pace_unknown(self, failure: TwistedFailure, attempt: Attempt) -> None:
-        """The next look at the tails decides anew."""
+        """Mark the pace as unknown so that the next listing sets it again."""
         failure.trap(WorkerUnreachable, WorkerReplaced)
         attempt.pace = UNKNOWN_PACE
 
     def _has_room(self, attempt: Attempt) -> bool:
-        """Whether a start that is repeated still fits; the first one did."""
+        """Return whether a repeated start still fits; the first one did."""
         if not attempt.tries:
             return True
         return self._table.used().fits_in(self._watch.announced.room)
--- a/hyssopring/jobs/past_incarnation.py
+++ b/hyssopring/jobs/past_incarnation.py
@@ -1,4 +1,4 @@
-"""How a worker's life ended, as its agent saw it."""
+"""The end of a worker's incarnation, and which starts may have caused it."""
 
 from dataclasses import dataclass
 from typing import Final, Iterable
@@ -8,22 +8,23 @@
 
 __all__ = ('PastIncarnation',)
 
-# An attempt that was started this long before the worker was last heard of
-# has not crashed it by being started.
+# A start cannot be the cause of a crash if the worker still answered this long
+# after it.
 _STARTING_MS: Final = MILLIS_PER_SECOND
-# A start without an answer may have arrived if the worker had answered
-# another call this long before.
+# An unanswered start may have arrived if the worker had answered another
+# request at most this long before.
 _ALIVE_MS: Final = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class PastIncarnation:
-    """A worker's life that is over.
+    """An incarnation of a worker that has ended.
 
     Attributes:
-        heard_at: When the worker answered last.
-        failing_since: When the first look after that failed, None if none has.
-        is_planned: It had said that it leaves.
+        boot: ID of the incarnation.
+        heard_at: When the worker last answered.
+        failing_since: When the first poll after that failed, None if none did.
+        is_planned: Whether the worker had announced that it leaves.
     """
 
     boot: str
@@ -32,23 +33,23 @@
     is_planned: bool
 
     def suspects(self, attempts: Iterable[Attempt]) -> list[Attempt]:
-        """Return the attempts whose start may have ended this life."""
+        """Return the attempts whose start may have crashed the worker."""
         if self.is_planned:
             return []
         return [attempt for attempt in attempts if self._is_suspect(attempt)]
 
     def _is_suspect(self, attempt: Attempt) -> bool:
         if not attempt.tries:
-            # A former agent ordered it: when it was started is not known.
+            # A former agent started it; the time of its start is unknown.
             return False
         if self.heard_at - attempt.ordered_at >= _STARTING_MS:
             return False
         return attempt.confirmed_at is not None or self._may_have_come(attempt)
 
     def _may_have_come(self, attempt: Attempt) -> bool:
-        """Whether an unanswered start may have reached the worker alive.
+        """Return whether an unanswered start may have reached the worker.
 
-        One that was repeated has had time to be listed.
+        A start that was repeated would have been listed by then.
         """
         if attempt.tries > 1 or attempt.ordered_at - self.heard_at > _ALIVE_MS:
             return False
--- a/hyssopring/jobs/peer_requests.py
+++ b/hyssopring/jobs/peer_requests.py
@@ -1,4 +1,4 @@
-"""Questions to other entries about the shards that they own."""
+"""Requests to other entries about the shards that they own."""
 
 from typing import Any, Callable, Final, Protocol
 
@@ -9,8 +9,8 @@
 
 __all__ = ('PeerTransport', 'PeerRequests')
 
-# Entries are a millisecond apart; after this time, which is assumed, the store
-# is read instead.
+# Round trips between entries take about a millisecond. After this timeout the
+# store is read instead.
 _ASK_S: Final = 0.4
 
 
@@ -18,17 +18,17 @@
     """Sends messages to other entries and to agents."""
 
     def to_entry(self, entry_id: str, message: JobsMessage) -> bool:
-        """Write a message on this entry's connection to another one."""
+        """Send a message to another entry; return False if not connected."""
 
     def answer(self, peer_id: str, message: JobsMessage) -> bool:
-        """Write a message on a connection that a peer has opened."""
+        """Send a message on a connection that a peer has opened."""
 
 
 class PeerRequests:
-    """Numbers questions and finds the answers' askers."""
+    """Numbers requests and matches responses to them."""
 
     def __init__(self, reactor: Any, peers: PeerTransport) -> None:
-        """Ask by ``peers``."""
+        """Send requests by ``peers``."""
         self._reactor = reactor
         self._peers = peers
         self._number = 0
@@ -40,7 +40,16 @@
         question: Callable[[int], JobsMessage],
         timeout_s: float = _ASK_S,
     ) -> Deferred:
-        """Ask another entry; None if no answer comes in time."""
+        """Send a request to another entry.
+
+        Args:
+            entry_id: The other entry, empty if there is none.
+            question: Returns the message of the given request number.
+
+        Returns:
+            A deferred of the answer; None if the entry is not connected or
+            does not answer in time.
+        """
         self._number += 1
         number = self._number
         if not entry_id or not self._peers.to_entry(entry_id, question(number)):
@@ -52,7 +61,7 @@
         return asked
 
     def answered(self, number: int, answer: Any) -> None:
-        """An answer came; one that is not waited for any more is dropped."""
+        """Pass an answer to its request; drop it after the timeout."""
         asked = self._asked_by_number.pop(number, None)
         if asked is not None:
             asked.callback(answer)
--- a/hyssopring/jobs/poll_backoff.py
+++ b/hyssopring/jobs/poll_backoff.py
@@ -1,46 +1,46 @@
-"""How soon a look is repeated, and how long each one may take."""
+"""Exponential backoff of the polls of a worker."""
 
 from typing import Final
 
 __all__ = ('ANSWER_MS', 'PollBackoff')
 
-# The worker is on the same VM and answers within a few ms, unless the VM is
-# overloaded.
+# Longest timeout of a poll. The worker is on the same VM and answers within a
+# few ms unless the VM is overloaded.
 ANSWER_MS: Final = 700.0
 _FIRST_ANSWER_MS: Final = 100.0
 _FIRST_PAUSE_MS: Final = 20.0
 _MAX_PAUSE_MS: Final = 150.0
-# More make no difference.
+# Further doublings exceed both limits.
 _MAX_DOUBLINGS: Final = 8
 
 
 class PollBackoff:
-    """Doubles time limit and pause with each look that gets no answer.
+    """Doubles timeout and pause with each unanswered poll.
 
-    Until a new incarnation has taken a look it carries out what was sent to
-    the former one. So the first looks are repeated at once.
+    The first pauses are short, because a new incarnation accepts requests sent
+    to the former one until it has received its first poll.
     """
 
     def __init__(self) -> None:
-        """Begin with the shortest times."""
+        """Begin with the shortest timeout and pause."""
         self._failed = 0
 
     def answered(self) -> None:
-        """Begin anew."""
+        """Reset timeout and pause after an answer."""
         self._failed = 0
 
     def failed(self) -> None:
-        """A look got no answer."""
+        """Count an unanswered poll."""
         self._failed += 1
 
     @property
     def answer_ms(self) -> float:
-        """How long the next answer may take."""
+        """Timeout of the next poll."""
         return min(_FIRST_ANSWER_MS * self._factor, ANSWER_MS)
 
     @property
     def pause_ms(self) -> float:
-        """How long the next look waits."""
+        """Delay before the next poll."""
         return min(_FIRST_PAUSE_MS * self._factor, _MAX_PAUSE_MS)
 
     @property
--- a/hyssopring/jobs/received_starts.py
+++ b/hyssopring/jobs/received_starts.py
@@ -1,41 +1,42 @@
-"""How many starts an agent has taken of each entry."""
+"""Counts the start orders that an agent has received from each entry."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
 __all__ = ('ReceivedStarts',)
 
-# Names of connections whose counts are kept; one is in use, and what was sent
-# on the last few may still be read.
+# Connections of an entry whose counts are kept: the current one, and recent
+# ones whose messages may still be unread.
 _KEPT: Final = 4
 
 
 @dataclass(slots=True)
 class _Counts:
-    """Starts taken, by the entry's name for the connection."""
+    """Received starts by connection ID, and the current connection's ID."""
 
     connection: str = ''
     by_connection: dict[str, int] = field(default_factory=dict)
 
 
 class ReceivedStarts:
-    """Counts starts by connection, as both ends of it understand the count.
+    """Counts received starts per connection.
 
-    An entry takes a start that was counted and is not listed for over. Starts
-    of an earlier connection may be read after the next one was made, as by an
-    agent that wakes from a freeze: counted among those of the new connection
-    they made the entry take running attempts for over, and start them again.
+    An entry treats an attempt as ended if its start was counted and the report
+    does not list it. An agent that was suspended may read starts of an earlier
+    connection after the next one was opened. If they counted for the new
+    connection, the entry would treat running attempts as ended and start them
+    again.
     """
 
     def __init__(self) -> None:
-        """Know no connection."""
+        """Begin without any connection."""
         self._by_entry: dict[str, _Counts] = {}
 
     def begin(self, entry_id: str, connection: str) -> None:
-        """An entry names its connection; its starts on others are void.
+        """Set an entry's current connection; starts on others become void.
 
-        A name that comes back, as a late question of an earlier connection
-        came between, goes on from its own count.
+        Counts are kept, so that a connection continues from its own count
+        after a delayed message of an earlier connection.
         """
         counts = self._by_entry.setdefault(entry_id, _Counts())
         counts.connection = connection
@@ -44,18 +45,18 @@
             counts.by_connection.pop(next(iter(counts.by_connection)))
 
     def record(self, entry_id: str, connection: str) -> bool:
-        """Count a start; False if it is of another connection, and void."""
+        """Count a start; return False if it is void, of another connection."""
         if not connection or connection != self.connection(entry_id):
             return False
         self._by_entry[entry_id].by_connection[connection] += 1
         return True
 
     def count(self, entry_id: str) -> int:
-        """How many starts of an entry were taken on ``connection``."""
+        """Return the number of starts received on the current connection."""
         counts = self._by_entry.get(entry_id)
         return counts.by_connection[counts.connection] if counts else 0
 
     def connection(self, entry_id: str) -> str:
-        """The entry's name for its newest connection, empty for none."""
+        """Return the entry's ID of its current connection, empty for none."""
         counts = self._by_entry.get(entry_id)
         return counts.connection if counts else ''
--- a/hyssopring/jobs/stall_detector.py
+++ b/hyssopring/jobs/stall_detector.py
@@ -1,4 +1,4 @@
-"""Whether this process has kept up, and may judge others by their silence."""
+"""Detects stalls of this process, after which timeouts of peers are void."""
 
 from typing import Final
 
@@ -6,34 +6,33 @@
 
 __all__ = ('StallDetector',)
 
-# Turns come at least five times a second. One that comes this late means that
-# the process was stopped or has more to do than it can: what others have sent
-# lies unread.
+# Ticks come at least every 200 ms. After a gap longer than this the process
+# was suspended or overloaded, and messages from peers may be unread.
 _LATE_MS: Final = 600.0
-# What lies unread is read between two turns, unless the second is late again.
+# Ticks on time after which all messages received during the stall are read.
 _TURNS_TO_READ: Final = 3
-# A process that is late again and again judges all the same after this time:
-# its shards' lost VMs would never be given up.
+# A process that stalls repeatedly applies timeouts again after this time.
+# Otherwise it would never declare a VM lost.
 _LONGEST_MS: Final = 3000.0
 
 
 class StallDetector:
-    """Notices late turns of a regular call.
+    """Detects late calls of a periodic function.
 
-    A process that was behind took its agents for silent, dropped their
-    connections with the reports that lay unread in them, and counted tasks as
-    lapsed whose ends it had been told: they ran again after they were done.
+    A process that has stalled has unread messages. If it applied its timeouts
+    before reading them, it would close connections that hold unread reports,
+    count tasks as lapsed whose ends were reported, and run them again.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Expect turns some times a second from now on."""
+        """Expect ticks several times a second from now on."""
         self._clock = clock
         self._turned_at = clock.now()
         self._blind_since: float | None = None
         self._turns_left = 0
 
     def record_tick(self) -> bool:
-        """Note a turn; False if silence says nothing about others now."""
+        """Record a tick; return whether timeouts of peers are meaningful."""
         now = self._clock.now()
         is_late = now - self._turned_at > _LATE_MS
         if is_late:
--- a/hyssopring/jobs/stop_marks.py
+++ b/hyssopring/jobs/stop_marks.py
@@ -1,4 +1,4 @@
-"""Marks attempts that an owner wants stopped, with a line for the reason."""
+"""Marks attempts that an owner wants to stop, and logs the reason."""
 
 from hyssopring.jobs.fleet import PlacedAttempt, Worker
 from hyssopring.logs import Event, log_event
@@ -7,7 +7,7 @@
 
 
 def mark_stopping(placed: PlacedAttempt, worker: Worker, why: str) -> None:
-    """Note that an attempt is to stop, and say why the first time."""
+    """Mark an attempt for stopping; log the reason the first time."""
     if placed.is_stopping:
         return
     placed.is_stopping = True
--- a/hyssopring/jobs/store_clock.py
+++ b/hyssopring/jobs/store_clock.py
@@ -1,4 +1,4 @@
-"""Bounds of the store's steady clock, by this process's own clock."""
+"""Bounds of the store's monotonic clock in terms of this process's clock."""
 
 from typing import Final
 
@@ -11,14 +11,15 @@
 
 
 class StoreClock:
-    """Translates between the store's clock and this process's.
+    """Converts between the store's clock and this process's clock.
 
-    An answer's reading was taken at some moment between the call and its
-    arrival. Each bound takes the moment and the drift that make a wait longer.
+    The reading in an answer was taken at some time between the request and the
+    arrival of the answer. Each bound assumes the time and the clock drift that
+    make a wait longer.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Know no reading."""
+        """Begin without any reading."""
         self._clock = clock
         self._reading_ms: float | None = None
         self._sent_at = clock.now()
@@ -26,11 +27,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether a reading has come."""
+        """Whether a reading was received."""
         return self._reading_ms is not None
 
     def update(self, reading_ms: float | None, sent_at: float) -> None:
-        """Take a reading that has arrived now; None if an answer had none."""
+        """Apply a reading received now; None if the answer had none."""
         if reading_ms is None:
             return
         self._reading_ms = reading_ms
@@ -38,7 +39,7 @@
         self._received_at = self._clock.now()
 
     def latest_reading(self, at: float) -> float:
-        """Return a reading that the store's clock has not passed at ``at``."""
+        """Return an upper bound of the store's clock at ``at``."""
         assert self._reading_ms is not None, 'a reading is known'
         return self._reading_ms + max(0, at - self._sent_at) * _FASTEST
 
--- a/hyssopring/jobs/task_facts.py
+++ b/hyssopring/jobs/task_facts.py
@@ -1,4 +1,4 @@
-"""What an agent must know of a task beside its name."""
+"""Task requirements that an owner sends to an agent."""
 
 from hyssopring.jobs.messages import TaskFacts
 from hyssopring.jobs.model import Step
@@ -7,7 +7,7 @@
 
 
 def facts_of(task: str, attempt: int, step: Step) -> TaskFacts:
-    """Return what an attempt of a step's task takes."""
+    """Return the requirements of an attempt of a task of ``step``."""
     return TaskFacts(
         task,
         attempt,
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -1,4 +1,8 @@
-"""Watches one worker: its boot, its lists, and the hold on its tasks."""
+"""Polls one worker, tracks its incarnation, and extends its hold.
+
+A hold is the time, on the worker's clock, until which the worker keeps its
+tasks running without another poll.
+"""
 
 import math
 from collections import deque
@@ -26,30 +30,41 @@
 
 __all__ = ('WorkerMonitor',)
 
-# How long an answer waits for an end: the figures of tail latency are for
-# half a second, and are read as often.
+# How long the worker may delay an answer until a task ends. Tail latencies
+# cover 500 ms and are read as often.
 _WAIT_MS: Final = 500
-# An answer with ends that are not durable yet comes at once; the next look
-# leaves time for their recording.
+# While ends are not durable yet the worker answers at once; this pause leaves
+# time to write them.
 _UNRECORDED_PAUSE_MS: Final = 60.0
 _RETRY_MS: Final = 150.0
-# The worker answers, and a higher fence is to hand.
+# The worker is reachable, and the next poll carries a higher fence.
 _FENCED_PAUSE_MS: Final = 20.0
-# Two looks were not answered.
+# Two polls in a row were not answered.
 _SILENT_MS: Final = 1500
-# A worker that withdraws ends at once; a look under way is answered or fails
-# within this time.
+# A worker that deregisters stops at once; a poll in flight is answered or
+# fails within this time.
 _ENDED_MS: Final = 500.0
 _PAST_BOOTS: Final = 16
 
 
 class WorkerMonitor:
-    """Keeps the newest boot of a worker in sight.
+    """Polls the newest incarnation of a worker.
+
+    Set the callbacks before the first announcement. Times are milliseconds on
+    this process's clock unless noted.
 
     Attributes:
-        boot: The boot whose lists are known, empty for none.
-        fences: Numbers the orders.
-        announced: What that boot says of itself.
+        on_boot: Called with the first listing of a new incarnation.
+        on_listing: Called with each listing and the time its poll was sent.
+        on_lapse: Called when the hold of a silent worker has expired.
+        on_room: Called when the worker announces other resources.
+        hold_limit: Returns the time up to which the hold may be extended.
+        has_unrecorded: Returns whether a listed end is not durable yet.
+        recorded: Returns the number up to which all ends are durable.
+        boot: ID of the incarnation that answered last, empty for none.
+        fences: Numbers the requests to the worker.
+        announced: The announced state of that incarnation.
+        past: The previous incarnation, None if this process polled none.
     """
 
     def __init__(
@@ -59,7 +74,7 @@
         port: WorkerPort,
         fences: FenceCounter,
     ) -> None:
-        """Look once a worker has announced itself; set the callbacks first."""
+        """Poll nothing until a worker announces itself."""
         self._reactor = reactor
         self._clock = clock
         self._port = port
@@ -80,12 +95,12 @@
         self._past_boots: deque[str] = deque(maxlen=_PAST_BOOTS)
         self._clock_base = float()
         self._held_until = clock.now()
-        # Until when calls that this agent does not know of, or that were sent
-        # to the former incarnation, may hold the tasks.
+        # Until when requests of a former agent, or requests sent to the former
+        # incarnation, may extend the hold.
         self._inherited_until = clock.now()
         self._has_lapsed = False
         self._stalls = StallDetector(clock)
-        # The look under way; an answer to any other one comes too late.
+        # The poll in flight; answers to earlier polls are dropped.
         self._pending: PollRequest | None = None
         self._retries = PollBackoff()
         self._oldest_listed: float = math.inf
@@ -94,17 +109,17 @@
 
     @property
     def is_answering(self) -> bool:
-        """Whether the last look was answered by the present incarnation."""
+        """Whether the current incarnation answered the last poll."""
         return self._failing_since is None
 
     @property
     def has_lapsed(self) -> bool:
-        """Whether the worker is silent, and its hold surely over."""
+        """Whether the worker is silent and its hold has certainly expired."""
         return self._has_lapsed
 
     @property
     def has_ended(self) -> bool:
-        """Whether the worker withdrew, and has answered nothing since."""
+        """Whether the worker deregistered and has not answered since."""
         withdrawn_at = self.announced.withdrawn_at
         if withdrawn_at is None:
             return False
@@ -113,48 +128,48 @@
 
     @property
     def silent_ms(self) -> int:
-        """For how long no worker has answered this agent."""
+        """Milliseconds since a worker answered this agent."""
         return int(self._clock.now() - self._heard_at)
 
     def announce(self, announced: Announcement) -> None:
-        """Take a worker's report about itself."""
+        """Handle a worker's announcement of its state."""
         if announced.boot in self._past_boots:
             return
         if announced.boot == self.boot:
             if self.announced.update(announced):
                 self.on_room()
             return
-        # A report may have been held up and speak of a life that is over:
-        # a boot counts only once the worker itself has answered under it.
+        # A delayed announcement may be of an incarnation that has ended, so a
+        # new one counts only when it has answered a poll.
         is_new = not self._candidate or announced.boot != self._candidate.boot
         self._candidate = announced
         self._candidate_at = self._clock.now()
         if is_new:
-            # Until the next incarnation is met it carries out what was sent to
-            # the former one, and the look under way may get no answer.
+            # Until its first poll, the new incarnation accepts requests that
+            # were sent to the former one. The poll in flight may get no answer.
             self._pending = None
             self._retries.answered()
         self.poll()
 
     def withdraw(self, boot: str) -> None:
-        """The worker says that this boot ends."""
+        """Handle the deregistration of an incarnation of the worker."""
         if boot == self.boot:
             self.announced.withdraw()
 
     def worker_time(self, at: float) -> int:
-        """Return a reading that the worker's clock has not passed at ``at``.
+        """Return a time on the worker's clock not later than ``at``.
 
-        A worker's clock may be slow: what is set by it must end in time by
-        the agent's.
+        The worker's clock may run slow, and a deadline that is set by it must
+        not pass after ``at`` on this process's clock.
         """
         millis = (at - self._heard_at) * (1 - CLOCK_DRIFT)
         return int(self._clock_base + millis)
 
     def hold_until(self) -> float:
-        """Until when (own clock) tasks may be held now.
+        """Return the time up to which the hold may be extended now.
 
-        What a silent worker is sent may arrive all the same: its hold would
-        be extended again and again, and its tasks could never be given up.
+        Requests to a silent worker may still arrive. If each one extended the
+        hold, its tasks could never be counted as ended.
         """
         if self.silent_ms > _SILENT_MS:
             return self._held_until
@@ -164,7 +179,7 @@
         return until
 
     def poll(self) -> None:
-        """Ask for the lists, unless that is under way."""
+        """Request a listing unless a poll is in flight."""
         if self._pending is not None:
             return
         candidate = self._candidate
@@ -174,8 +189,8 @@
             self._look_again()
 
     def check(self) -> None:
-        """Notice a worker that is silent past its hold; call regularly."""
-        # After a freeze an answer may lie unread: then silence says nothing.
+        """Detect a silent worker whose hold expired; call periodically."""
+        # After this process was stalled an answer may lie unread.
         has_kept_up = self._stalls.record_tick()
         if not self.boot or self._has_lapsed or not has_kept_up:
             return
@@ -191,10 +206,10 @@
             self.on_lapse()
 
     def _look_again(self) -> None:
-        """Look at the known incarnation, unless it may have been replaced.
+        """Poll the current incarnation, without side effects if it is silent.
 
-        After a look without an answer another incarnation may be there, which
-        must take neither acknowledgements nor a hold by the clock of this one.
+        After an unanswered poll another incarnation may be running. It must
+        receive neither acknowledgements nor a hold by this one's clock.
         """
         if not self.is_answering:
             self._send_plain(self.boot)
@@ -213,12 +228,12 @@
             ),
         )
         if is_listed:
-            # A start after it must not be followed by this acknowledgement in
-            # the next incarnation, where it would reach that start's end.
+            # If the next incarnation ran a later start and received this
+            # acknowledgement after it, it would drop the end of that start.
             self.fences.advance()
 
     def _send_plain(self, boot: str) -> None:
-        """Look, and only make void what was sent to incarnations before."""
+        """Poll only to invalidate requests sent to earlier incarnations."""
         self.fences.advance()
         answer_ms = self._retries.answer_ms
         self._send(
@@ -226,7 +241,7 @@
         )
 
     def _extension(self) -> int | None:
-        """Until when a look extends the hold, None if there is no right."""
+        """Return the hold's new end on the worker's clock, None for none."""
         until = self.hold_until()
         return self.worker_time(until) if until > self._clock.now() else None
 
@@ -277,7 +292,7 @@
             self._look_failed()
 
     def _met_another(self, look: PollRequest) -> None:
-        """Another incarnation has answered a look."""
+        """Drop a candidate if another incarnation answered its poll."""
         if look.boot != self.boot:
             self._candidate = None
         self._look_failed()
@@ -289,7 +304,7 @@
         self._retries.failed()
 
     def _broken(self, failure: TwistedFailure) -> None:
-        """An error of ours in handling a list: say so, and go on looking."""
+        """Log a local error in handling a listing, and keep polling."""
         self._pending = None
         log_event(
             Event.PEER_ERROR,
@@ -304,8 +319,8 @@
 
     @property
     def _stray_hold_ms(self) -> float:
-        """How long a hold may last that the boot before was sent."""
-        assert self._candidate is not None, 'there is a next boot'
+        """How long a hold sent to the former incarnation may last."""
+        assert self._candidate is not None, 'a candidate is being adopted'
         may_stray = self._candidate.target in {'', self._target}
         return LONGEST_HOLD_MS if may_stray else 0
 
@@ -322,9 +337,9 @@
             log_event(Event.WORKER_REPLACED, boot=look.boot, before=self.boot)
             self._inherited_until = self._clock.now() + self._stray_hold_ms
         else:
-            # A former agent may have extended the hold until now. Taken for
-            # over as this one never gave it, running tasks would be reported
-            # as gone by the first late answer, and start a second time.
+            # A former agent may have extended the hold until now. Without it,
+            # one late answer would report running tasks as ended, and they
+            # would start a second time.
             self._inherited_until = self._clock.now() + HOLD_MS
         self.announced = AnnouncedState.of_boot(
             self._clock,
@@ -339,7 +354,7 @@
 
 
 def _oldest_number(listing: Listing) -> float:
-    """Return the lowest number of an end that is listed."""
+    """Return the lowest number of a listed end, infinity for none."""
     numbers = [end.number for end in listing.ends]
     if listing.last_unidentified_end:
         numbers.append(listing.last_unidentified_end)
@@ -347,12 +362,12 @@
 
 
 def _meet_nobody(_listing: Listing) -> None:
-    """No owner is set yet."""
+    """Do nothing; the default of a callback."""
 
 
 def _nothing() -> None:
-    """No owner is set yet."""
+    """Do nothing; the default of a callback."""
 
 
 def _ignore(_listing: Listing, _sent_at: float) -> None:
-    """No owner is set yet."""
+    """Do nothing; the default of a callback."""
--- a/hyssopring/jobs/worker_port.py
+++ b/hyssopring/jobs/worker_port.py
@@ -1,4 +1,4 @@
-"""What an agent's core asks of its worker, whatever the worker speaks."""
+"""The interface between an agent and its worker, independent of transport."""
 
 import enum
 from dataclasses import dataclass
@@ -22,22 +22,26 @@
 
 
 class WorkerUnreachable(Exception):
-    """No usable answer came; what was asked may still be carried out."""
+    """No valid answer arrived; the request may still be carried out."""
 
 
 class WorkerFenced(WorkerUnreachable):
-    """The worker has seen a higher fence, and has done nothing."""
+    """The worker has seen a higher fence and ignored the request."""
 
 
 class WorkerReplaced(Exception):
-    """Another boot of the worker answered, and has done nothing."""
+    """Another incarnation of the worker answered and ignored the request."""
 
 
 class StartOutcome(enum.Enum):
-    """What a worker says to a start.
+    """A worker's answer to a start request.
 
-    OLD: this attempt or a higher one has run or was stopped here before.
-    BAD_TICKET: the ticket has run out, or is for another life or step.
+    Attributes:
+        FENCED: The worker has seen a higher fence.
+        OLD: This attempt or a higher one has run or was stopped there before.
+        LATE: The hold of the request had expired when it arrived.
+        BAD_TICKET: The ticket has expired, or is for another incarnation or
+            step.
     """
 
     STARTED = 'started'
@@ -52,15 +56,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """A worker's report about itself.
+    """A worker's announcement of its state.
 
     Attributes:
-        boot: One life of the worker.
-        sequence: Rises with each report of a boot, so that a late one shows.
-        clock_ms: The worker's own steady clock.
-        remaining_ms: While it leaves: how long it still runs at least.
-        target: The name by which calls reach it, empty if it may be any: a
-            call that was sent to one boot reaches the next one of that name.
+        boot: ID of the worker's incarnation.
+        room: Total resources of the worker.
+        remaining_ms: How long a leaving worker will run at least.
+        sequence: Increases with each announcement of an incarnation; a lower
+            one is out of date.
+        clock_ms: A reading of the worker's monotonic clock.
+        target: The name that requests are addressed to, empty if unknown. A
+            request sent to one incarnation reaches the next one of that name.
     """
 
     boot: str
@@ -76,14 +82,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """A request for the worker's lists that also extends its hold.
+    """A request for the worker's listing that may also extend its hold.
 
     Attributes:
-        fence: Orders with a lower one are void from now on.
-        acked_through: Ends up to this number may be forgotten.
-        hold_until_ms: On the worker's clock; None extends nothing.
-        wait_ms: How long the answer may wait for an end.
-        timeout_ms: Within this time the answer has to be whole.
+        boot: The incarnation that the request is for.
+        fence: From now on the worker ignores requests with a lower fence.
+        acked_through: The worker may forget ends up to this number.
+        hold_until_ms: New end of the hold on the worker's clock, None to keep
+            the present one.
+        wait_ms: How long the worker may delay the answer until a task ends.
+        timeout_ms: The timeout of the request.
     """
 
     boot: str
@@ -96,7 +104,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRequest:
-    """An order to start one attempt; ``ticket`` is empty if it needs none."""
+    """A request to start one attempt.
+
+    Attributes:
+        boot: The incarnation that the request is for.
+        fence: The worker ignores the request if it has seen a higher one.
+        hold_until_ms: New end of the hold on the worker's clock.
+        ticket: Admission ticket, empty if the task needs none.
+    """
 
     boot: str
     fence: int
@@ -110,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRow:
-    """An attempt on the worker; see ``AttemptReport`` for the figures."""
+    """An attempt running on the worker; see ``AttemptReport`` for units."""
 
     task: str
     attempt: int
@@ -121,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRow:
-    """The end of an attempt; numbers rise within a boot."""
+    """The end of an attempt; numbers increase within an incarnation."""
 
     number: int
     task: str
@@ -132,14 +147,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All that runs on a worker, and the ends not yet forgotten.
+    """The running attempts of a worker and its unacknowledged ends.
 
     Attributes:
-        is_complete: Whether each row was read: what is not listed is over.
-        last_unidentified_end: The highest number of an end that names no
-            task, 0 for none; it is to be forgotten like a recorded one.
-        boot: The one that answered, and has carried the look out; empty where
-            it cannot be another one than was asked.
+        clock_ms: A reading of the worker's monotonic clock.
+        rows: The running attempts.
+        ends: The unacknowledged ends.
+        is_complete: Whether all rows were valid, so that an attempt that is
+            not listed has ended.
+        last_unidentified_end: The highest number of an end without a valid
+            task, 0 for none; it is acknowledged without being recorded.
+        boot: The incarnation that answered; empty if it is certainly the one
+            that was asked.
     """
 
     clock_ms: int
@@ -150,16 +169,16 @@
     boot: str = ''
 
     def names(self, task: str, attempt: int) -> bool:
-        """Whether an attempt runs or has ended there."""
+        """Return whether an attempt is listed as running or ended."""
         running = {(row.task, row.attempt) for row in self.rows}
         ended = {(end.task, end.attempt) for end in self.ends}
         return (task, attempt) in running | ended
 
 
 class WorkerPort(Protocol):
-    """Calls to the worker; each returns a Twisted ``Deferred``.
+    """Requests to the worker; each method returns a Twisted ``Deferred``.
 
-    They fail with ``WorkerUnreachable`` or ``WorkerReplaced``.
+    It fails with ``WorkerUnreachable`` or ``WorkerReplaced``.
     """
 
     def poll(self, look: PollRequest) -> Any:
@@ -169,7 +188,7 @@
         """Return a deferred ``StartOutcome``."""
 
     def stop(self, boot: str, fence: int, task: str, attempt: int) -> Any:
-        """Return a deferred that fires when the stop was taken."""
+        """Return a deferred that fires when the worker accepted the stop."""
 
     def set_pace(
         self,
@@ -179,4 +198,4 @@
         attempt: int,
         percent: int,
     ) -> Any:
-        """Return a deferred that fires when the pace was taken."""
+        """Return a deferred that fires when the worker accepted the pace."""
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -1,4 +1,7 @@
-"""One agent with its worker, and the attempts that were ordered there."""
+"""An agent with its worker and the attempts placed there, as an owner sees it.
+
+Times are milliseconds on the entry's clock unless noted.
+"""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -9,29 +12,34 @@
 
 __all__ = ('PlacedAttempt', 'Worker')
 
-# A worker that has not answered its agent for this long gets no new tasks.
+# A worker that has not answered its agent for this long gets no new task.
 _SILENT_MS: Final = 1500
 _REPORTS_TO_SHOW: Final = 2
-# Below this share of full pace a filler is slow, and what it uses says little
-# of what it would use.
+# Below this percentage of full pace a best-effort task counts as slowed down,
+# and its usage does not show what it would use at full pace.
 _SLOW_PACE: Final = 40
 _FULL_PACE: Final = 100
-# The first figures of a filler may cover a part of their time only: it counts
-# with this share of what it asks for at the least.
+# The first measurements of a best-effort task may cover only a part of their
+# interval; it counts with at least this share of its request.
 _LEAST_USE: Final = 0.5
 
 
 @dataclass(slots=True)
 class PlacedAttempt:
-    """An attempt that was ordered, and may run.
+    """An attempt whose start was sent to an agent and that may be running.
 
     Attributes:
-        start_index: The place of its start on the agent's connection; 0 when it
-            was sent on an earlier one.
-        reports: How many reports have named it.
-        slow_since: Since when its pace is low.
-        seen_since: When a report named it first.
-        observed_ms: For how long from then on its worker has answered.
+        boot: The incarnation of the worker that it was sent to.
+        start_index: The position of its start order on the agent's
+            connection; 0 if it was sent on an earlier connection.
+        placed_at: When it was placed.
+        percent: Progress, as the task reports it.
+        load: See ``AttemptReport``.
+        pace: Allowed percentage of its processor time; negative if unknown.
+        reports: The number of reports that included it.
+        slow_since: Since when its pace has been low, None if it is not.
+        seen_since: When a report first included it.
+        observed_ms: How long from then on its worker has been answering.
     """
 
     name: TaskName
@@ -52,19 +60,18 @@
 
     @property
     def has_measured_usage(self) -> bool:
-        """Whether what it does to tasks beside it may show in their figures.
+        """Whether reported measurements cover its effect on other tasks.
 
-        They are for half a second, and reported as often.
+        Measurements cover 500 ms and are reported as often.
         """
         return self.reports > _REPORTS_TO_SHOW
 
     @property
     def cpu_in_use(self) -> float:
-        """Thousandths of a core that a filler uses at its pace.
+        """Thousandths of a core that a best-effort task uses now.
 
-        Tasks use less than they ask for, some a third less. Counted by what
-        they ask for, a worker whose processors are idle for a quarter of the
-        time takes no more of them.
+        Tasks use less than they request, some by a third. Counting requests
+        would leave a worker's processors idle for a quarter of the time.
         """
         asked = self.step.size.cpu_millis * max(self.pace, 0) / _FULL_PACE
         if self.has_measured_usage:
@@ -73,21 +80,21 @@
 
     @property
     def cpu_at_full_pace(self) -> float:
-        """Thousandths of a core that a filler would use at full pace."""
+        """Thousandths of a core that a best-effort task uses at full pace."""
         asked = self.step.size.cpu_millis
         if self.has_measured_usage and self.pace >= _SLOW_PACE:
             return min(asked, self.cpu_in_use * _FULL_PACE / self.pace)
         return asked
 
     def slow_ms(self, now: float) -> float:
-        """For how long the attempt has been slowed down a lot."""
+        """Return for how many milliseconds its pace has been low."""
         return 0 if self.slow_since is None else now - self.slow_since
 
     def update(self, told: AttemptReport, now: float, silent_ms: float) -> None:
-        """Take over what a report says of the attempt.
+        """Apply the attempt's part of a report.
 
         Args:
-            silent_ms: For how long the worker had not answered its agent.
+            silent_ms: How long the worker has not answered its agent.
         """
         self.reports += 1
         if self.seen_since is None:
@@ -104,15 +111,17 @@
 
 @dataclass
 class Worker:
-    """One agent and its worker.
+    """An agent and its worker.
 
     Attributes:
-        granted_at: When its agent was last granted, by this owner or by a
-            former one as far as can be known.
-        connection: This entry's name for the agent's connection.
-        orders: How many starts were sent on it.
-        disconnected_at: When its last connection was lost.
-        refused_at: When it last did not take a start, None if never.
+        report: The agent's newest report, None before the first one.
+        reported_at: When that report arrived.
+        granted_at: When its agent last got a grant from this owner, or the
+            latest time at which a former owner may have sent one.
+        connection: This entry's ID of the agent's connection.
+        orders: The number of start orders sent on that connection.
+        disconnected_at: When its last connection was closed.
+        refused_at: When it last refused a start, None if never.
     """
 
     agent_id: str
@@ -129,7 +138,7 @@
 
     @property
     def boot(self) -> str:
-        """The worker's life, empty while none is known."""
+        """ID of the worker's incarnation, empty while none is known."""
         return self.report.boot if self.report else ''
 
     @property
@@ -139,13 +148,13 @@
 
     @property
     def rack(self) -> str:
-        """The rack's label; the kind comes first among the labels."""
+        """The rack's label, which comes last; the first is the VM's kind."""
         labels = self.report.labels if self.report else []
         return labels[-1] if labels else ''
 
     @property
     def room(self) -> Size:
-        """All that the worker has."""
+        """Total resources of the worker."""
         report = self.report
         if report is None:
             return Size()
@@ -156,7 +165,7 @@
         )
 
     def free(self) -> Size:
-        """What is left beside all attempts that are known here."""
+        """Return the resources not used by any known attempt."""
         report = self.report
         if report is None:
             return Size()
@@ -170,7 +179,7 @@
         return self.room.minus(used)
 
     def best_effort_tasks(self) -> list[PlacedAttempt]:
-        """The fillers that were ordered there."""
+        """Return the best-effort tasks placed there."""
         return [
             placed
             for placed in self.placed_by_task.values()
@@ -178,7 +187,7 @@
         ]
 
     def latency_critical_tasks(self) -> list[PlacedAttempt]:
-        """The keepers with a target that were ordered there."""
+        """Return the keepers with a latency target placed there."""
         return [
             placed
             for placed in self.placed_by_task.values()
@@ -186,35 +195,35 @@
         ]
 
     def exposure(self) -> tuple[int, int]:
-        """How many tasks would go with the worker: keepers, and all."""
+        """Return how many keepers, and how many tasks, it would lose."""
         placed = self.placed_by_task.values()
         return sum(each.step.is_keeper for each in placed), len(placed)
 
     def has_received(self, placed: PlacedAttempt, report: WorkerReport) -> bool:
-        """Whether the agent had taken an attempt's order when it reported.
+        """Return whether the agent had received a start when it reported.
 
-        An order that it had not taken may still come. A report counts the
-        orders of one connection, and says nothing of another one's.
+        A start that it had not received may still arrive. A report counts the
+        starts of one connection only.
         """
         is_counted = report.connection == self.connection
         return is_counted and placed.start_index <= report.orders
 
     def accepts_tasks(self) -> bool:
-        """Whether a new task may be sent there now."""
+        """Return whether a new task may be sent there now."""
         report = self.report
         if report is None or not report.boot or report.is_leaving:
             return False
         return self.is_connected and report.silent_ms < _SILENT_MS
 
     def is_lost(self, now: float) -> bool:
-        """Whether nothing that was ordered there can run any more."""
+        """Return whether no attempt placed there can still be running."""
         return now - self.granted_at > GRANT_EXPIRY_MS
 
     @property
     def silent_since(self) -> float | None:
         """Since when the worker counts as silent, None if it does not.
 
-        Its hold is not extended meanwhile, so that a grant is of no use.
+        The agent does not extend its hold meanwhile, so grants have no effect.
         """
         report = self.report
         if report is None or report.silent_ms < _SILENT_MS:
@@ -228,12 +237,12 @@
 
     @property
     def has_no_worker(self) -> bool:
-        """Whether the agent is here, and surely nothing runs beside it.
+        """Whether the agent is connected and nothing can run on its VM.
 
-        No worker has answered it for longer than a hold lasts, also one of
-        an agent before it, and no order is under way to it. Holds are extended
-        while a worker has been silent for a moment only: such a call may have
-        arrived, so that this moment counts as well.
+        No worker has answered for longer than any hold lasts, including one
+        set by a former agent, and no start is in flight. A hold is extended
+        until the worker counts as silent, and that request may have arrived,
+        so the time until then is added.
         """
         report = self.report
         if not self.is_connected or report is None or self.placed_by_task:
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -1,4 +1,4 @@
-"""What one boot of a worker has last said of itself."""
+"""The announced state of an incarnation of a worker."""
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.announced_state import AnnouncedState
@@ -16,7 +16,7 @@
 
 
 def test_a_late_report_changes_nothing():
-    """Guards against a room that an overtaken report enlarges."""
+    """Guards against resources of an outdated announcement."""
     state = AnnouncedState.of_boot(ManualClock(), told(5), 0)
     assert not state.update(told(4, Size(9000, 9000, 0), is_leaving=True))
     assert state.room == ROOM
@@ -24,7 +24,7 @@
 
 
 def test_a_room_counts_for_a_while_only():
-    """Guards against starts in a room that may have shrunk since."""
+    """Guards against starts on resources that may have shrunk since."""
     clock = ManualClock()
     state = AnnouncedState.of_boot(clock, told(1), clock.now())
     clock.advance(CAPACITY_TTL_MS + 1)
--- a/tests/test_fences.py
+++ b/tests/test_fences.py
@@ -1,4 +1,4 @@
-"""The numbers by which a worker tells newer orders from older ones."""
+"""Fencing numbers, by which a worker rejects outdated requests."""
 
 from hyssopring.jobs.fences import FenceCounter
 
@@ -15,7 +15,7 @@
     assert fences.current == WALL_MS + 1
 
 
-def test_a_refused_number_is_raised_until_it_is_enough():
+def test_a_refused_number_is_raised_until_it_is_accepted():
     """Guards against an agent that never reaches a worker's higher fence."""
     fences = FenceCounter(lambda: WALL_MS)
     fences.advance()
@@ -27,7 +27,7 @@
 
 
 def test_a_refusal_of_an_older_number_changes_nothing():
-    """Guards against a number that each of many refused orders raises."""
+    """Guards against a fence that each of many rejected requests raises."""
     fences = FenceCounter(lambda: WALL_MS)
     fences.advance()
     first = fences.current
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -1,6 +1,6 @@
-"""Agents and workers that die, fall silent, leave or are born again.
+"""Agents and workers that crash, fall silent, leave or restart.
 
-See ``test_jobs`` for what is asserted all the while.
+See ``test_jobs`` for the invariants that are checked in each test.
 """
 
 import pytest
@@ -10,11 +10,11 @@
 from standins.jobs.deployment import a_job, settled, starts_of
 
 
-def test_an_agent_that_dies_finds_its_tasks_again():
-    """An agent is killed and is back three seconds later.
+def test_a_restarted_agent_keeps_the_running_tasks():
+    """An agent is killed and restarts after three seconds.
 
-    Its worker kept the tasks under the hold; the new agent lists them, does
-    not stop them for want of a grant, and the owner keeps them.
+    Its worker keeps the tasks under the hold. The new agent lists them and
+    must not stop them before grants arrive, nor may the owner.
     """
     deployment = settled(workers=1, work_ms=lambda task: 6000)
     job = a_job(steps=((4, ()),))
@@ -29,11 +29,11 @@
 
 
 def test_tasks_of_a_cut_off_agent_start_elsewhere_only_after_its_grant():
-    """An agent is cut off from all entries for good; its worker runs on.
+    """An agent permanently loses all entries, and its worker keeps running.
 
-    The agent stops extending the hold when its grant is over, and the owner
-    starts the tasks elsewhere no sooner, also when the worker's clock is 2%
-    slow: the hold is set by its clock, and set shorter by as much.
+    The agent stops extending the hold when its grant expires, and the owner
+    starts the tasks elsewhere no sooner. This also holds if the worker's clock
+    is 2% slow, because the hold is shortened by the clock drift.
     """
     deployment = settled(workers=2, rate=0.98, work_ms=lambda task: 20_000)
     job = a_job(steps=((6, ()),))
@@ -46,8 +46,8 @@
     assert all(row[1] == 'worker-1' for row in moved)
 
 
-def test_a_worker_that_is_born_again_frees_its_tasks_at_once():
-    """A worker crashes; its next life runs nothing and says so."""
+def test_tasks_of_a_restarted_worker_start_elsewhere_at_once():
+    """A worker crashes; its next incarnation lists no running task."""
     deployment = settled(workers=2, work_ms=lambda task: 4000)
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
@@ -60,11 +60,11 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_a_report_of_an_older_life_is_not_believed():
-    """A heartbeat of a dead life comes late, after the next one's.
+def test_a_late_announcement_of_a_former_incarnation_is_ignored():
+    """An announcement of a former incarnation arrives after the next one's.
 
-    The agent asks the worker under that life before it believes the report;
-    the worker says that it is another one.
+    The agent first polls the worker as that incarnation, and the worker
+    answers that it is another one.
     """
     deployment = settled(workers=1)
     worker = deployment.workers[0]
@@ -84,10 +84,10 @@
 
 @pytest.mark.parametrize('late_s', [0, 1, 3, 8])
 def test_a_start_whose_answer_is_lost_runs_once(late_s):
-    """Starts get no answer and are carried out at once or seconds later.
+    """Starts are unanswered and are carried out at once or seconds later.
 
-    The agent repeats the same attempt, which a worker starts only once, and
-    a copy that comes after the end of the attempt is refused as old.
+    The agent repeats the same attempt, which a worker starts only once. A copy
+    that arrives after the end of the attempt is refused as old.
     """
     deployment = settled(workers=2)
     for worker in deployment.workers:
@@ -100,10 +100,10 @@
     assert len(starts_of(deployment, job)) == 4
 
 
-def test_a_silent_worker_s_tasks_are_given_up_after_the_hold():
-    """A worker answers nothing any more; its agent lives.
+def test_tasks_of_a_silent_worker_start_elsewhere_after_the_hold():
+    """A worker stops answering while its agent runs.
 
-    The agent knows until when the hold lasts at most and tells the owner then.
+    The agent reports the tasks as ended when the hold has expired.
     """
     deployment = settled(workers=2, work_ms=lambda task: 9000)
     job = a_job(steps=((4, ()),))
@@ -126,7 +126,7 @@
 
 
 def test_tasks_of_a_leaving_worker_are_stopped_before_it_goes():
-    """A worker says that it leaves: its tasks save and go on elsewhere."""
+    """A worker that leaves stops its tasks, which resume elsewhere."""
     deployment = settled(workers=2, work_ms=lambda task: 9000)
     job = a_job()
     deployment.submit(job)
@@ -137,12 +137,12 @@
     assert len(deployment.workers[1].runs) == 4
 
 
-def test_a_new_agent_that_has_not_met_its_worker_says_nothing_of_tasks():
-    """An agent is killed and restarted; its worker kept the tasks.
+def test_reports_of_an_agent_without_a_listing_end_no_task():
+    """An agent is killed and restarts while its worker keeps the tasks.
 
-    The worker answers nothing for a second, so that the agent's first reports
-    name no task. An owner that believed them would start the tasks elsewhere
-    while they run.
+    The worker does not answer for a second, so the agent's first reports
+    contain no task. If the owner counted the tasks as ended, it would start
+    them elsewhere while they run.
     """
     deployment = settled(workers=2, work_ms=lambda task: 9000)
     job = a_job(steps=((4, ()),))
@@ -159,10 +159,10 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_an_agent_admits_no_more_than_its_worker_has():
-    """An order for more than is left comes, from an owner that knows less.
+def test_an_agent_refuses_a_start_that_does_not_fit():
+    """An owner with an outdated view orders more than fits on the worker.
 
-    The worker would start whatever it is told; the agent refuses.
+    The worker starts whatever it is asked to, so the agent must refuse.
     """
     deployment = settled(workers=1)
     agent = deployment.agents['agent-0']
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -1,4 +1,4 @@
-"""Messages and answers that are lost, late, or overtaken."""
+"""Messages and answers that are lost, delayed or reordered."""
 
 from dataclasses import replace
 
@@ -20,7 +20,7 @@
 
 
 def one(work_ms=1000):
-    """One entry, one agent, and a job of one task."""
+    """Return a deployment of one entry and agent, and a job of one task."""
     deployment = settled(workers=1, entries=1, work_ms=lambda task: work_ms)
     job = a_job(steps=((1, ()),))
     deployment.submit(job)
@@ -32,10 +32,10 @@
 
 
 def test_a_stop_that_the_worker_refuses_for_its_fence_is_sent_again():
-    """A worker has seen a higher fence than a stop carries.
+    """A worker has seen a higher fence than that of a stop, and ignores it.
 
-    It does nothing; the agent took its answer for a stop that was carried
-    out, and a cancelled task ran on to its end.
+    If the agent treated the answer as an accepted stop, a cancelled task would
+    run to its end.
     """
     deployment, job = one(work_ms=20_000)
     deployment.run(1)
@@ -45,8 +45,8 @@
     assert not deployment.workers[0].runs
 
 
-def test_a_stop_that_a_start_with_a_raised_fence_overtakes_is_sent_again():
-    """A start is answered as late, so that the fence is raised meanwhile."""
+def test_a_stop_overtaken_by_a_start_with_a_raised_fence_is_sent_again():
+    """A start is refused as late and raises the fence while a stop is sent."""
     deployment, job = one(work_ms=20_000)
     deployment.run(1)
     worker = deployment.workers[0]
@@ -76,10 +76,10 @@
 
 
 def test_an_acknowledgement_that_is_lost_with_its_link_is_sent_again():
-    """The link breaks under the message that an end is durable.
+    """The connection breaks with the message that an end is durable.
 
-    The owner had counted the end and told of it, and never did so again: the
-    worker listed it for ever, and each look was answered at once.
+    If the owner did not repeat the message, the worker would list the end
+    forever and answer each poll without waiting.
     """
     deployment, _job = one()
     agent = deployment.agents['agent-0']
@@ -99,9 +99,10 @@
 
 
 def test_an_agent_that_dies_with_an_acknowledgement_gets_it_again():
-    """An agent is killed after it heard that an end is durable.
+    """An agent is killed right after the message that an end is durable.
 
-    Its worker was not told yet, and lists the end to the next agent.
+    Its worker has not got the acknowledgement, and lists the end to the next
+    agent.
     """
     deployment, _job = one()
     agent, worker = deployment.agents['agent-0'], deployment.workers[0]
@@ -122,11 +123,12 @@
     assert not worker.ends
 
 
-def test_a_late_question_of_an_earlier_connection_sets_no_count_back():
-    """An old connection's question is read after the new one's.
+def test_a_late_question_of_an_earlier_connection_resets_no_count():
+    """A message of an earlier connection is read after the current one's.
 
-    The agent counted from nothing when the new name came again. The owner's
-    starts seemed never to be taken, and one that vanished was not repeated.
+    If the agent then counted the current connection's starts from 0 again, the
+    owner would take them for still in flight, and a lost one would never be
+    repeated.
     """
     deployment, _job = one(work_ms=3000)
     deployment.run(0.3)
@@ -149,7 +151,7 @@
 
 
 def test_a_start_of_an_earlier_connection_is_void():
-    """It would be counted among the starts of the new connection."""
+    """Guards against counting it among the starts of the new connection."""
     taken = ReceivedStarts()
     taken.begin('entry', 'old')
     assert taken.record('entry', 'old')
@@ -161,28 +163,29 @@
 
 
 class StoppedClock:
-    """A clock of the product that does not go on."""
+    """A clock whose time never advances."""
 
     def now(self):
         return 0
 
 
 class DeafConnection:
-    """A connection on which nothing is heard."""
+    """A connection that receives nothing and drops what is sent."""
 
     last_heard = 0
 
     def send(self, message):
-        """Nobody reads it."""
+        """Drop a message."""
 
     def abort(self):
-        """It is not there."""
+        """Do nothing."""
 
 
 def test_an_old_connection_that_closes_leaves_the_new_one_alone():
-    """An entry is known by two addresses, and the older connection ends.
+    """An entry has two addresses, and the older of two connections closes.
 
-    The agent took the entry for gone, though the newer connection was well.
+    The agent must not treat the entry as disconnected, since the newer
+    connection is open.
     """
     opened, closed, heard = [], [], []
     dialler = LinkDialler(
@@ -207,7 +210,7 @@
 
 
 def test_a_cancellation_that_overtakes_its_job_is_kept():
-    """Two entries tell the owner, one of a job and one of its end."""
+    """One entry passes on a job to its owner, another its cancellation."""
     deployment = settled(workers=1, entries=1)
     owned = deployment.entries['entry-0'].core.owner.shards.by_shard[0]
     job = a_job(steps=((1, ()),))
@@ -219,10 +222,10 @@
 
 
 def test_an_attempt_that_replaced_another_on_its_worker_goes_on():
-    """An agent reports a higher attempt than was ordered there last.
+    """An agent reports a later attempt than the owner has recorded there.
 
-    A former owner had started it. The owner took the attempt that it had
-    noted on the same worker for another one that runs, and stopped this one.
+    A former owner started it. The owner must not treat its outdated record on
+    the same worker as another running attempt, and stop this one.
     """
     deployment, job = one(work_ms=3000)
     deployment.run(0.5)
@@ -234,7 +237,7 @@
 
 
 def test_a_report_that_counts_for_another_connection_ends_nothing():
-    """It may have left before the start that it does not list."""
+    """It may have been sent before a start that it does not list arrived."""
     deployment, _job = one(work_ms=3000)
     deployment.run(0.5)
     worker = deployment.entries['entry-0'].core.fleet.by_agent['agent-0']
@@ -244,11 +247,11 @@
     assert not worker.has_received(placed, earlier)
 
 
-def test_an_agent_that_wakes_reads_before_it_judges_its_worker():
-    """A VM is frozen with its worker for longer than a hold lasts.
+def test_a_resumed_agent_reads_answers_before_it_expires_the_hold():
+    """A VM is suspended, with its worker, for longer than a hold lasts.
 
-    The worker's clock stood still, and its tasks run on. The agent woke, saw
-    a silence of 8 s and reported an idle worker.
+    The worker's clock stood still, and its tasks keep running. The agent must
+    not treat the gap of 9 s as a silent worker and report its tasks as ended.
     """
     deployment, _job = one(work_ms=20_000)
     deployment.run(1)
--- a/tests/test_jobs_returning_days.py
+++ b/tests/test_jobs_returning_days.py
@@ -1,6 +1,6 @@
-"""Random days on which workers start again under their ids.
+"""Random fault schedules with workers that restart under the same ID.
 
-Longer runs: ``python -m tests.test_jobs_returning_days FIRST LAST``.
+To run more seeds: ``python -m tests.test_jobs_returning_days FIRST LAST``.
 """
 
 import sys
@@ -10,24 +10,24 @@
 from standins.jobs.returning_days import ReturningDay
 
 SEEDS = (0, 1, 2)
-# Played as they were before there were tasks that last; 10 and 17 had failed.
+# Schedules without keepers; seeds 10 and 17 once failed.
 SEEDS_WITHOUT_KEEPERS = (10, 17, 23)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_a_random_day_of_returning_workers(seed):
-    """Guards against two runs, lost ends, and jobs or tasks left waiting."""
+    """Guards against duplicate runs, lost ends and tasks left waiting."""
     assert not ReturningDay(seed).play()
 
 
 @pytest.mark.parametrize('seed', SEEDS_WITHOUT_KEEPERS)
 def test_a_random_day_of_returning_workers_and_batch_jobs(seed):
-    """Guards against two runs, lost ends and jobs that never finish."""
+    """Guards against duplicate runs, lost ends and unfinished jobs."""
     assert not ReturningDay(seed, has_keepers=False).play()
 
 
 def main(first, last):
-    """Play days by hand, one line each that fails."""
+    """Run the seeds of a range and print a line for each failure."""
     for seed in range(first, last + 1):
         left = ReturningDay(seed).play()
         if left:
--- a/tests/test_jobs_returning_workers.py
+++ b/tests/test_jobs_returning_workers.py
@@ -1,7 +1,7 @@
-"""Workers that start again under the id that they had, in virtual time.
+"""Workers that restart under the same ID, in virtual time.
 
-The agents speak to them through the border, as to the platform's runners. The
-workers' book asserts all the while that no task runs twice or after its end.
+The agents call them through the platform adapter. The workers' record of runs
+checks that no task runs twice at a time or after its end.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def crashes():
-    """Every crash of a worker that was logged."""
+    """The fields of each logged crash of a worker."""
     logged = []
 
     def hear(event, fields):
@@ -42,7 +42,7 @@
 
 
 def after_first_job(**options):
-    """A deployment whose workers have listed some ends."""
+    """Return a deployment whose workers have listed some ends."""
     deployment = returning(**options)
     first = a_job(1, steps=((12, ()),))
     deployment.submit(first)
@@ -58,7 +58,7 @@
 
 
 def restart_everything(deployment):
-    """All processes and workers lose their power."""
+    """Restart all processes and workers, as after a power failure."""
     for name in list(deployment.entries):
         deployment.kill_entry(name)
     for name, agent in list(deployment.agents.items()):
@@ -72,7 +72,7 @@
 
 
 def test_ends_of_a_restarted_worker_count():
-    """Guards against done tasks that run again as their ends are skipped."""
+    """Guards against done tasks that run again because ends are skipped."""
     deployment = after_first_job()
     restart_all(deployment)
     job = a_job(2, steps=((12, ()),))
@@ -101,9 +101,12 @@
 
 
 def lose_one_start(deployment, late_s):
-    """Hand a job of one task in; return it and the worker that was to start it.
+    """Submit a job of one task whose first start is delayed and unanswered.
 
-    The start is carried out so much later, by whichever incarnation is there.
+    After ``late_s`` the incarnation that runs then carries the start out.
+
+    Returns:
+        The job, and the worker that the start was sent to.
     """
     for worker in deployment.workers:
         worker.lose_next = 1
@@ -132,7 +135,7 @@
 
 
 def test_a_start_for_the_former_incarnation_is_void():
-    """Guards against a late start that a next incarnation carries out."""
+    """Guards against a delayed start that the next incarnation carries out."""
     deployment = returning(work_ms=lambda task: 2 * LONG_MS)
     job, worker = lose_one_start(deployment, late_s=4)
     worker.crash()
@@ -144,7 +147,7 @@
 
 
 def test_a_start_that_the_next_incarnation_has_carried_out_is_kept(crashes):
-    """Guards against a second start beside one that arrived after a restart."""
+    """Guards against a second start of a task whose first came after a restart."""
     deployment = returning(work_ms=lambda task: LONG_MS)
     job, worker = lose_one_start(deployment, late_s=0.2)
     worker.crash()
@@ -177,7 +180,7 @@
 
 
 def lose_first_acknowledgement(worker, late_s):
-    """Let the first one be carried out late; return a list that shows it."""
+    """Delay the first acknowledgement; return a list to which it is added."""
     look_as_before = worker.poll
     lost = []
 
@@ -193,7 +196,7 @@
 
 
 def test_a_hold_by_the_former_clock_does_not_reach_the_next_incarnation():
-    """Guards against tasks that run on after all rights to them are over."""
+    """Guards against tasks that keep running after their grants expired."""
     deployment = returning(workers=1)
     worker = deployment.workers[0]
     assert worker.hold_ms > HIGH_CLOCK_MS
@@ -206,7 +209,7 @@
 
 @pytest.mark.parametrize('lists', [False, True])
 def test_a_new_agent_orders_a_worker_that_has_seen_a_higher_fence(lists):
-    """Guards against a worker that no agent can order: a clock was set back."""
+    """Guards against a worker that rejects every agent after a clock set back."""
     deployment = after_first_job(workers=1)
     worker = deployment.workers[0]
     worker.lists_when_fenced = lists
@@ -220,8 +223,12 @@
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
 
-def test_an_upgraded_agent_names_a_running_worker_otherwise():
-    """Guards against second starts as the release before knows ids alone."""
+def test_an_upgraded_agent_keeps_the_tasks_of_a_running_worker():
+    """Guards against second starts when the boot ID of a worker changes.
+
+    Older releases build it from the worker's ID alone, newer ones also from
+    its start time.
+    """
     deployment = returning(work_ms=lambda task: LONG_MS)
     for worker in deployment.workers:
         worker.tells_born = False
@@ -246,7 +253,7 @@
 
 @pytest.mark.parametrize('first_ms', [1000, HIGH_CLOCK_MS, 2 * HIGH_CLOCK_MS])
 def test_the_next_incarnation_s_clock_may_begin_anywhere(first_ms):
-    """Guards against holds and fences that are derived from a former clock."""
+    """Guards against holds and fences computed from a former clock."""
     deployment = after_first_job()
     for worker in deployment.workers:
         worker.clocks_ms = itertools.repeat(first_ms)
@@ -259,7 +266,7 @@
 
 
 def test_a_late_report_of_the_former_incarnation_changes_nothing():
-    """Guards against a living worker that is hidden by its former self."""
+    """Guards against a former incarnation's report that replaces the current."""
     deployment = after_first_job(workers=1)
     worker, agent = deployment.workers[0], deployment.agents['agent-0']
     late = {**report_fields(worker), 'state': 'draining'}
@@ -276,7 +283,7 @@
 
 
 def restart_twice_unseen(deployment, agent):
-    """Two incarnations between two looks; one that never reports."""
+    """Start two incarnations between two polls; the first never reports."""
     agent.worker.crash()
     agent.worker.crash()
 
@@ -301,7 +308,7 @@
 
 
 def restart_with_a_takeover(deployment, agent):
-    """The next owner has heard of the former incarnation only."""
+    """Restart the worker before the next owner got any report of it."""
     deployment.kill_entry(deployment.owner)
     agent.worker.go_down(0.2)
 
@@ -324,7 +331,7 @@
 )
 @pytest.mark.parametrize('after_s', [0.02, 0.79, 0.81])
 def test_a_job_survives_a_restart(restart, after_s):
-    """Guards against lost or doubled tasks, wherever a restart falls."""
+    """Guards against lost or duplicate runs at any time of a restart."""
     deployment = after_first_job()
     job = a_job(2, steps=((12, ()), (6, (0,))))
     deployment.submit(job)
@@ -334,8 +341,8 @@
     assert deployment.state(job.job_id, deployment.owner) is JobState.COMPLETED
 
 
-def test_the_next_incarnation_is_met_beside_a_look_without_an_answer():
-    """Guards against late orders that come before the agent's first look."""
+def test_the_next_incarnation_is_polled_beside_an_unanswered_poll():
+    """Guards against delayed requests that arrive before the first poll."""
     deployment = returning(workers=1)
     worker, agent = deployment.workers[0], deployment.agents['agent-0']
     worker.lose_looks = 1
--- a/tests/test_jobs_stalls.py
+++ b/tests/test_jobs_stalls.py
@@ -1,15 +1,15 @@
-"""A process that is behind judges nobody by silence."""
+"""A stalled process applies no timeouts to its peers."""
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.stall_detector import StallDetector
 from standins.jobs.deployment import a_job, settled, starts_of
 
 
-def test_an_owner_that_was_behind_counts_no_task_as_lapsed_at_once():
-    """An owner is busy for 8.7 seconds, while tasks end and are reported.
+def test_a_stalled_owner_reads_reports_before_it_counts_tasks_as_lapsed():
+    """An owner stalls for 8.7 s, while tasks end and are reported.
 
-    The reports lie unread in its connections. It counted the attempts as
-    lapsed before it read them, and started tasks again that were done.
+    If it counted the attempts as lapsed before reading the reports in its
+    connections, it would start completed tasks again.
     """
     deployment = settled(entries=1, work_ms=lambda task: 4000)
     job = a_job(steps=((5, ()),))
@@ -37,7 +37,7 @@
 
 
 def turns(clock, watch, *gaps_ms):
-    """Whether the watch judges at each of some turns."""
+    """Return the detector's answers at ticks that are these gaps apart."""
     told = []
     for gap_ms in gaps_ms:
         clock.advance(gap_ms)
@@ -45,8 +45,8 @@
     return told
 
 
-def test_a_process_judges_again_after_turns_in_time():
-    """What came during a stall must have been read before silence counts."""
+def test_timeouts_apply_again_after_ticks_on_time():
+    """Messages received during a stall must be read before timeouts apply."""
     clock = ManualClock(0)
     watch = StallDetector(clock)
     assert turns(clock, watch, 200, 900) == [True, False]
@@ -55,8 +55,8 @@
     assert turns(clock, watch, 200, 200, 200) == [False, False, True]
 
 
-def test_a_process_that_is_late_again_and_again_judges_all_the_same():
-    """It never gave a lost VM up, and all earlier jobs waited for that one."""
+def test_timeouts_apply_in_a_process_that_stalls_repeatedly():
+    """Guards against a lost VM whose tasks never start elsewhere."""
     clock = ManualClock(0)
     watch = StallDetector(clock)
     told = turns(clock, watch, *(20 * [700, 200]))
--- a/tests/test_jobs_store_time.py
+++ b/tests/test_jobs_store_time.py
@@ -1,4 +1,4 @@
-"""Bounds of the store's clock by a process's own."""
+"""Bounds of the store's clock in terms of a process's clock."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 @pytest.mark.parametrize('drift', [0.98, 1, 1.02])
 @pytest.mark.parametrize('taken_after_ms', [0, 150, 300])
 def test_a_wait_that_is_carried_over_never_ends_early(taken_after_ms, drift):
-    """A wait written by one process and read by another ended too soon."""
+    """Guards against a wait that a process reads and ends too early."""
     ahead_ms = 5_000
     store = lambda at: ahead_ms + at * drift  # noqa: E731
     writer, reader = ManualClock(1_000), ManualClock(1_000)
@@ -28,7 +28,7 @@
 
 
 def test_an_answer_without_a_reading_changes_nothing():
-    """A relayed answer tells no time."""
+    """A relayed answer contains no reading."""
     clock = ManualClock(0)
     times = StoreClock(clock)
     times.update(None, 0)
--- a/tests/test_keeper_watch.py
+++ b/tests/test_keeper_watch.py
@@ -1,4 +1,4 @@
-"""The watch over tasks that last judges by the rule's own bound."""
+"""The monitor of lost keepers applies the bounds of the specification."""
 
 from types import SimpleNamespace
 
@@ -17,14 +17,14 @@
 
 
 def an_owner():
-    """An entry that owns the shard all the while."""
+    """Return an entry that owns the shard throughout."""
     shards = SimpleNamespace(by_shard={0: SimpleNamespace(epoch=1)})
     core = SimpleNamespace(owner=SimpleNamespace(shards=shards))
     return SimpleNamespace(is_alive=True, core=core)
 
 
 class Scene:
-    """Two workers, and one task that ran on the first of them until 10 s."""
+    """Two workers, and a task that ran on the first one until 10 s."""
 
     def __init__(self, rooms=2):
         self.now = ENDED_AT
@@ -67,7 +67,7 @@
         self.agents[name].worker.is_down = True
 
     def until(self, seconds):
-        """Look several times a second until then."""
+        """Check several times a second until then."""
         while self.now < seconds:
             self.watch.look([JOB])
             self.now += TICK_S
@@ -75,14 +75,14 @@
 
 
 def test_a_task_is_lost_nine_seconds_after_its_last_run():
-    """Guards against a watch that allows longer than the rule."""
+    """Guards against a monitor that allows more than the specified time."""
     scene = Scene()
     assert not scene.until(18.9).missed
     assert scene.until(19.5).elsewhere
 
 
 def test_a_task_that_never_ran_counts_from_when_it_was_owed():
-    """Guards against a first start that is not watched."""
+    """Guards against a first start that is not monitored."""
     scene = Scene()
     scene.book.last_run_by_task.clear()
     assert not scene.until(18.9).missed
@@ -90,7 +90,7 @@
 
 
 def test_seven_seconds_of_calm_are_needed():
-    """Guards against blame for what happens while something is wrong."""
+    """Guards against counting a task as lost during a fault."""
     scene = Scene()
     scene.stillness.since = 18
     assert not scene.until(24.9).missed
@@ -98,7 +98,7 @@
 
 
 def test_a_run_in_between_begins_the_wait_anew():
-    """Guards against a sum of waits that are each within the bound."""
+    """Guards against adding up waits that are each within the bound."""
     scene = Scene()
     scene.until(18)
     scene.run_on('second')
@@ -113,7 +113,7 @@
     [(1, None, True), (1, 'second', False), (2, 'second', True)],
 )
 def test_there_must_be_room_twice_over(rooms, lost, is_missed):
-    """Room on two workers counts together; on one that is away it does not."""
+    """Free resources of two workers add up; those of a lost one do not."""
     scene = Scene(rooms)
     if lost:
         scene.lose(lost)
@@ -121,7 +121,7 @@
 
 
 def test_the_window_begins_with_the_room():
-    """Guards against blame for a start that had no room until now."""
+    """Guards against counting a task as lost when it had no room."""
     scene = Scene()
     for agent in scene.agents.values():
         agent.worker.is_leaving = True
@@ -133,16 +133,16 @@
 
 
 def test_a_vm_that_stays_away_excuses_no_task_that_ran_elsewhere():
-    """Guards against a fault that is pending for as long as a VM is away."""
+    """Guards against a fault that counts for as long as a VM is down."""
     scene = Scene()
     scene.lose('second')
     assert scene.until(19.5).elsewhere
 
 
 def test_a_task_of_a_lost_vm_is_held_until_it_surely_ended():
-    """Guards against starts beside a run, and against waits that have no end.
+    """Guards against duplicate runs and unbounded waits.
 
-    It is told apart from tasks that ran elsewhere.
+    Such a task is recorded separately from tasks that ran elsewhere.
     """
     scene = Scene()
     scene.lose('first')
--- a/tests/test_look_retries.py
+++ b/tests/test_look_retries.py
@@ -1,4 +1,4 @@
-"""How soon a look is repeated, and how long each one may take."""
+"""Exponential backoff of the polls of a worker."""
 
 from hyssopring.jobs.poll_backoff import ANSWER_MS, PollBackoff
 
--- a/tests/test_lost_vms.py
+++ b/tests/test_lost_vms.py
@@ -1,4 +1,4 @@
-"""When nothing can run any more on a VM that is away."""
+"""When nothing can be running any more on a lost VM."""
 
 from types import SimpleNamespace
 
@@ -12,7 +12,7 @@
 
 
 class Scene:
-    """One VM, which is lost after 10 s, and a shard with or without owners."""
+    """A VM that is lost after 10 s, and a shard with or without an owner."""
 
     def __init__(self, reign=1):
         self.now = 0
@@ -31,19 +31,19 @@
         self.agent.is_alive = False
 
     def own(self, reign):
-        """Somebody owns the shard from now on, or nobody."""
+        """Set the epoch of the shard's owner, None for no owner."""
         self.shards.clear()
         if reign:
             self.shards[0] = SimpleNamespace(epoch=reign)
 
     def until(self, seconds):
-        """Look several times a second until then."""
+        """Check several times a second until then."""
         while self.now < seconds:
             self.vms.look()
             self.now = round(self.now + TICK_S, 1)
 
     def over_after(self):
-        """How long after its loss nothing runs on the VM."""
+        """Return how long after its loss nothing can run on the VM."""
         return self.vms.safe_at(VM) - LOST_AT
 
 
@@ -61,7 +61,7 @@
 
 
 def test_the_wait_counts_from_the_loss_however_many_owners_follow():
-    """Guards against a wait that each takeover begins anew."""
+    """Guards against a wait that each takeover restarts."""
     scene = Scene()
     for reign in (2, 3, 4):
         scene.until(scene.now + 4)
@@ -71,7 +71,7 @@
 
 
 def test_a_silent_former_owner_prolongs_the_wait_to_a_bound():
-    """It may still grant; guards against a wait for as long as it is silent."""
+    """It may still send grants; guards against an unbounded wait for it."""
     scene = Scene()
     scene.until(20)
     scene.stillness.silent_at = 11
@@ -81,7 +81,7 @@
 
 
 def test_a_loss_that_no_owner_sees_counts_from_the_next_reign():
-    """All power is lost: guards against blame for what nobody could count."""
+    """All processes are lost, so that no owner can count from the loss."""
     scene = Scene(reign=None)
     scene.until(16)
     assert scene.over_after() == float('inf')
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -16,7 +16,7 @@
 
 
 def still(**options):
-    """A deployment that has not been disturbed for a while."""
+    """Return a deployment without disruptions for a while."""
     deployment = Deployment(workers=2, entries=2)
     stillness = Stillness(deployment, **options)
     watched(WHILE_S, deployment, stillness)
@@ -25,7 +25,7 @@
 
 
 def test_a_vm_that_stays_away_disturbs_nothing():
-    """Its end and its return do; guards against calm that never begins."""
+    """Only its loss and its return count; otherwise calm would never begin."""
     deployment, stillness = still()
     deployment.kill_agent('agent-0')
     deployment.workers[0].go_down(WHILE_S)
@@ -64,8 +64,8 @@
 @pytest.mark.parametrize(
     'fault', [go_dark, slow_worker, cut_off, store_down, shun, freeze]
 )
-def test_what_goes_on_disturbs_all_the_while(fault):
-    """Guards against blame while a fault is there."""
+def test_a_lasting_fault_disturbs_for_as_long_as_it_lasts(fault):
+    """Guards against counting tasks as lost during a fault."""
     deployment, stillness = still()
     fault(deployment)
     watched(WHILE_S, deployment, stillness)
@@ -73,7 +73,7 @@
 
 
 def test_a_worker_of_a_vm_that_is_gone_for_good_disturbs_nothing():
-    """It answers nobody for ever; guards against calm that never begins."""
+    """It never answers again; otherwise calm would never begin."""
     deployment, stillness = still(gone={'agent-0'})
     deployment.kill_agent('agent-0')
     go_dark(deployment)
@@ -82,7 +82,7 @@
 
 
 def test_a_lost_answer_disturbs_until_its_order_is_carried_out():
-    """Guards against blame for a start that comes late on purpose."""
+    """Guards against counting a deliberately delayed start as a fault."""
     deployment, stillness = still()
     worker = deployment.workers[0]
     worker.lose_next = 1
@@ -97,7 +97,7 @@
 
 
 def test_an_entry_that_is_away_is_silent():
-    """Guards against a bound of safety that is too short for its owner."""
+    """Guards against a safety bound that is too short for a silent owner."""
     deployment, stillness = still()
     assert stillness.silent_at == 0
     deployment.kill_entry('entry-0')
--- a/tests/test_worker_lives.py
+++ b/tests/test_worker_lives.py
@@ -1,4 +1,4 @@
-"""Which attempts an agent holds responsible for the end of a worker's life."""
+"""Which starts an agent counts as possible causes of a worker's crash."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 def test_nothing_has_crashed_a_worker_that_said_that_it_leaves():
-    """Guards against a planned end that counts as a crash."""
+    """Guards against a planned shutdown that counts as a crash."""
     assert not past(is_planned=True).suspects([attempt(HEARD_AT)])
 
 
@@ -41,7 +41,7 @@
 
 
 def test_a_start_sent_into_a_long_silence_has_crashed_nothing():
-    """Guards against a cut worker's unanswered starts counting as causes."""
+    """Guards against an unreachable worker's starts counting as causes."""
     late = attempt(HEARD_AT + 700, is_confirmed=False)
     assert not past().suspects([late])
 
@@ -53,5 +53,5 @@
 
 
 def test_an_attempt_that_a_new_agent_has_found_has_crashed_nothing():
-    """Guards against blame for a task that may have run for long."""
+    """Guards against blaming a task that may have been running for long."""
     assert not past().suspects([attempt(HEARD_AT, tries=0)])
