--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -41,7 +41,7 @@
 # How long an agent waits for grants from the owners of the running tasks that
 # it finds. Connections take up to 500 ms; the hold that its predecessor set
 # lasts longer than this.
-_GRANTS_WAIT_MS: Final = 1500.0
+_GRANT_WAIT_MS: Final = 1500.0
 
 Send = Callable[[str, JobsMessage], None]
 
@@ -77,14 +77,14 @@
             reactor, clock, port, FenceCounter(wall_ms)
         )
         self.table = AttemptTable()
-        self._rights = AgentLeases()
+        self._leases = AgentLeases()
         self._orders = WorkerOrders(
             reactor,
             clock,
             port,
             self.monitor,
             self.table,
-            self._refused,
+            self._start_refused,
         )
         self._pacer = Pacer(clock, self._orders.set_pace)
         self._ends = EndTable()
@@ -96,19 +96,19 @@
         )
         self._sequence = 0
         self._reported_at_by_entry: dict[str, float] = {}
-        self._taken = ReceivedStarts()
+        self._received_starts = ReceivedStarts()
         self._is_report_due = False
         # Attempts of a silent worker whose hold expired; it may have crashed,
         # which its next incarnation will show.
-        self._lapsed_attempts: list[Attempt] = []
-        self._met_at = clock.now()
-        self.monitor.on_boot = self._new_boot
-        self.monitor.on_listing = self._listed
-        self.monitor.on_lapse = self._lapsed
-        self.monitor.on_room = self._report_soon
+        self._expired_attempts: list[Attempt] = []
+        self._incarnation_found_at = clock.now()
+        self.monitor.on_new_incarnation = self._incarnation_changed
+        self.monitor.on_listing = self._listing_received
+        self.monitor.on_hold_expired = self._hold_expired
+        self.monitor.on_capacity_changed = self._schedule_report
         self.monitor.hold_limit = self._hold_limit
         self.monitor.has_unrecorded = lambda: self._ends.has_unrecorded
-        self.monitor.recorded = self._ends.durable_up_to
+        self.monitor.durable_up_to = self._ends.durable_up_to
 
     def connected(self, entry_id: str) -> None:
         """Report the worker's state to an entry that has connected."""
@@ -126,7 +126,7 @@
         otherwise the next owner of a shard would wait for an agent that never
         returns, and so would its keepers.
         """
-        self.shutdown.is_begun = True
+        self.shutdown.has_begun = True
         self.shutdown.announce(self._reported_at_by_entry)
 
     def tick(self) -> None:
@@ -134,9 +134,9 @@
         now = self._clock.now()
         self.monitor.check()
         for entry_id, reported_at in list(self._reported_at_by_entry.items()):
-            if self._rights.is_due(now, reported_at):
+            if self._leases.is_due(now, reported_at):
                 self._report(entry_id)
-        if self._rights.latest_expiry > now and not self._awaits_grants(now):
+        if self._leases.latest_expiry > now and not self._awaits_grants(now):
             self._stop_ungranted(now)
         self.shutdown.announce(self._reported_at_by_entry)
 
@@ -150,8 +150,8 @@
         )
 
     @take.register
-    def _take_grant(self, message: Grant, entry_id: str) -> None:
-        self._rights.renew(
+    def _handle_grant(self, message: Grant, entry_id: str) -> None:
+        self._leases.renew(
             entry_id,
             message.sequence,
             message.reigns,
@@ -159,31 +159,35 @@
         )
 
     @take.register
-    def _take_question(self, message: ReportRequest, entry_id: str) -> None:
-        self._taken.begin(entry_id, message.connection)
-        for asked in message.reigns:
-            self._rights.observe_epoch(asked.shard, asked.reign, entry_id)
+    def _handle_report_request(
+        self, message: ReportRequest, entry_id: str
+    ) -> None:
+        self._received_starts.set_connection(entry_id, message.connection)
+        for owned in message.reigns:
+            self._leases.observe_epoch(owned.shard, owned.reign, entry_id)
         self._report(entry_id)
 
     @take.register
-    def _take_recorded(self, message: EndsRecorded, entry_id: str) -> None:
+    def _handle_ends_recorded(
+        self, message: EndsRecorded, entry_id: str
+    ) -> None:
         if message.boot != self.monitor.boot:
             return
         self._ends.forget(message.numbers)
 
     @take.register
-    def _take_facts(self, message: TaskFacts, entry_id: str) -> None:
+    def _handle_facts(self, message: TaskFacts, entry_id: str) -> None:
         attempt = self.table.by_task.get(message.task)
         if attempt is not None and attempt.number == message.attempt:
             attempt.facts = message
 
     @take.register
-    def _take_start(self, message: StartOrder, entry_id: str) -> None:
+    def _handle_start(self, message: StartOrder, entry_id: str) -> None:
         facts = message.facts
-        if not self._taken.record(entry_id, message.connection):
+        if not self._received_starts.record(entry_id, message.connection):
             self._refuse(entry_id, message.shard, facts, 'connection')
             return
-        reason = self._objection(message, entry_id)
+        reason = self._refusal_reason(message, entry_id)
         if reason:
             self._refuse(entry_id, message.shard, facts, reason)
             return
@@ -199,11 +203,11 @@
         )
         self.table.add(attempt)
         self._orders.start(message, attempt)
-        self._report_soon()
+        self._schedule_report()
 
     @take.register
-    def _take_stop(self, message: StopOrder, entry_id: str) -> None:
-        if not self._rights.observe_epoch(
+    def _handle_stop(self, message: StopOrder, entry_id: str) -> None:
+        if not self._leases.observe_epoch(
             message.shard, message.reign, entry_id
         ):
             return
@@ -213,20 +217,20 @@
         else:
             self.table.close(message.task, message.attempt)
 
-    def _objection(self, order: StartOrder, entry_id: str) -> str:
+    def _refusal_reason(self, order: StartOrder, entry_id: str) -> str:
         """Return why a start order is refused; empty if it is accepted."""
         facts = order.facts
-        if not self._rights.observe_epoch(order.shard, order.reign, entry_id):
+        if not self._leases.observe_epoch(order.shard, order.reign, entry_id):
             return 'deposed'
         if order.boot != self.monitor.boot:
             return 'boot'
-        if self.monitor.announced.is_leaving or self.shutdown.is_begun:
+        if self.monitor.announced.is_leaving or self.shutdown.has_begun:
             return 'leaving'
-        if self._rights.expiry_of(order.shard) <= self._clock.now():
+        if self._leases.expiry_of(order.shard) <= self._clock.now():
             return 'no-grant'
-        return self._task_objection(facts)
+        return self._task_refusal_reason(facts)
 
-    def _task_objection(self, facts: TaskFacts) -> str:
+    def _task_refusal_reason(self, facts: TaskFacts) -> str:
         if facts.task in self.table.by_task:
             return RUNNING_HERE
         if self.table.is_closed(facts.task, facts.attempt):
@@ -237,14 +241,14 @@
         size = Size(cpu, facts.memory_mb, facts.accelerators)
         # An attempt being stopped counts until the worker has listed its end.
         used = self.table.used().plus(size)
-        if not used.fits_in(self.monitor.announced.room):
+        if not used.fits_in(self.monitor.announced.capacity):
             return 'room'
         return ''
 
-    def _refused(self, attempt: Attempt, reason: str) -> None:
+    def _start_refused(self, attempt: Attempt, reason: str) -> None:
         """Pass on that the worker refused a start."""
         assert attempt.facts is not None, 'every start order has task facts'
-        owner = self._rights.owner_of(attempt.shard)
+        owner = self._leases.owner_of(attempt.shard)
         self._refuse(owner, attempt.shard, attempt.facts, reason)
 
     def _refuse(
@@ -261,37 +265,42 @@
             attempt=facts.attempt,
             reason=reason,
         )
-        reign = self._rights.epoch_of(shard)
+        epoch = self._leases.epoch_of(shard)
         self._send(
             entry_id,
-            StartRefusal(facts.task, facts.attempt, reason, reign),
+            StartRefusal(facts.task, facts.attempt, reason, epoch),
         )
 
-    def _new_boot(self, listing: Listing) -> None:
+    def _incarnation_changed(self, listing: Listing) -> None:
         now = self._clock.now()
-        self._met_at = now
+        self._incarnation_found_at = now
         self._ends = EndTable(self._ends)
-        before = [*self.table.by_task.values(), *self._lapsed_attempts]
-        if self.monitor.past is not None:
-            lost = [
-                each
-                for each in before
-                if not listing.names(each.task, each.number)
+        former_attempts = [
+            *self.table.by_task.values(),
+            *self._expired_attempts,
+        ]
+        if self.monitor.past_incarnation is not None:
+            lost_attempts = [
+                attempt
+                for attempt in former_attempts
+                if not listing.names(attempt.task, attempt.number)
             ]
-            self._ends.add_crashes(self.monitor.past, lost, now)
-        self._lapsed_attempts = []
+            self._ends.add_crashes(
+                self.monitor.past_incarnation, lost_attempts, now
+            )
+        self._expired_attempts = []
         self.table.clear()
         # A start sent to the previous incarnation may have reached this one.
-        self.table.carry_over(before, listing, now)
-        self.monitor.recorded = self._ends.durable_up_to
-        self._report_soon()
+        self.table.carry_over(former_attempts, listing, now)
+        self.monitor.durable_up_to = self._ends.durable_up_to
+        self._schedule_report()
 
-    def _lapsed(self) -> None:
+    def _hold_expired(self) -> None:
         """Drop all attempts: the worker is silent and its hold has expired."""
-        self._lapsed_attempts = list(self.table.by_task.values())
+        self._expired_attempts = list(self.table.by_task.values())
         for attempt in list(self.table.by_task.values()):
-            self.table.ended(attempt.task, attempt.number)
-        self._report_soon()
+            self.table.remove(attempt.task, attempt.number)
+        self._schedule_report()
 
     def _hold_limit(self) -> float:
         """Return the time up to which the hold may be extended.
@@ -302,13 +311,13 @@
         """
         if self._awaits_grants(self._clock.now()):
             return 0
-        return self._rights.latest_expiry
+        return self._leases.latest_expiry
 
     def _awaits_grants(self, now: float) -> bool:
-        if now - self._met_at > _GRANTS_WAIT_MS:
+        if now - self._incarnation_found_at > _GRANT_WAIT_MS:
             return False
         return any(
-            self._rights.expiry_of(attempt.shard) <= now
+            self._leases.expiry_of(attempt.shard) <= now
             for attempt in self.table.by_task.values()
         )
 
@@ -320,81 +329,85 @@
         the hold expires by itself.
         """
         for attempt in list(self.table.by_task.values()):
-            if self._rights.expiry_of(attempt.shard) <= now:
+            if self._leases.expiry_of(attempt.shard) <= now:
                 self._orders.stop(attempt)
 
-    def _listed(self, listing: Listing, sent_at: float) -> None:
+    def _listing_received(self, listing: Listing, sent_at: float) -> None:
         now = self._clock.now()
-        self._lapsed_attempts = []
-        has_news = False
+        self._expired_attempts = []
+        has_changed = False
         for end in listing.ends:
             if self._ends.add(end):
-                has_news = True
-                self.table.ended(end.task, end.attempt)
+                has_changed = True
+                self.table.remove(end.task, end.attempt)
         self._ends.skip(listing.last_unidentified_end)
-        listed = set()
+        listed_tasks = set()
         for row in listing.rows:
-            listed.add(row.task)
+            listed_tasks.add(row.task)
             if row.task not in self.table.by_task:
-                has_news = True
+                has_changed = True
             self.table.listed(row, now)
         if listing.is_complete:
             # A row that could not be parsed may belong to any attempt. An
             # attempt dropped by mistake would start again while it runs.
-            has_news |= self.table.drop_unlisted(listed, sent_at)
+            has_changed |= self.table.drop_unlisted(listed_tasks, sent_at)
         self._pacer.tick(self.table.by_task.values())
-        if has_news:
-            self._report_soon()
+        if has_changed:
+            self._schedule_report()
 
-    def _report_soon(self) -> None:
+    def _schedule_report(self) -> None:
         """Schedule one report for all changes in this reactor iteration."""
         if not self._is_report_due:
             self._is_report_due = True
-            self._reactor.callLater(0, self._report_owners)
+            self._reactor.callLater(0, self._report_to_owners)
 
-    def _report_owners(self) -> None:
+    def _report_to_owners(self) -> None:
         self._is_report_due = False
         for entry_id in list(self._reported_at_by_entry):
-            if self._rights.epochs_of(entry_id):
+            if self._leases.epochs_of(entry_id):
                 self._report(entry_id)
 
     def _report(self, entry_id: str) -> None:
         now = self._clock.now()
         self._sequence += 1
         self._reported_at_by_entry[entry_id] = now
-        self._rights.note_report_sent(self._sequence, now)
-        reigns = self._rights.epochs_of(entry_id)
-        own = {known.shard for known in reigns}
+        self._leases.note_report_sent(self._sequence, now)
+        shard_epochs = self._leases.epochs_of(entry_id)
+        own_shards = {owned.shard for owned in shard_epochs}
         attempts = self.table.by_task.values()
-        foreign = Size()
+        foreign_usage = Size()
         for attempt in attempts:
-            if attempt.shard not in own:
-                foreign = foreign.plus(attempt.charge())
-        watch = self.monitor
+            if attempt.shard not in own_shards:
+                foreign_usage = foreign_usage.plus(attempt.reserved_size())
+        monitor = self.monitor
         self._send(
             entry_id,
             WorkerReport(
                 self._sequence,
-                watch.boot,
-                watch.announced.service,
-                list(watch.announced.labels),
-                watch.announced.room.cpu_millis,
-                watch.announced.room.memory_mb,
-                watch.announced.room.accelerators,
-                watch.announced.is_leaving,
-                watch.announced.remaining_ms,
-                watch.silent_ms,
-                reigns,
-                [each.report() for each in attempts if each.shard in own],
+                monitor.boot,
+                monitor.announced.service,
+                list(monitor.announced.labels),
+                monitor.announced.capacity.cpu_millis,
+                monitor.announced.capacity.memory_mb,
+                monitor.announced.capacity.accelerators,
+                monitor.announced.is_leaving,
+                monitor.announced.remaining_ms,
+                monitor.silent_ms,
+                shard_epochs,
+                [
+                    attempt.report()
+                    for attempt in attempts
+                    if attempt.shard in own_shards
+                ],
                 [
                     end
                     for end in self._ends.by_number.values()
-                    if shard_of_task(end.task) in own
+                    if shard_of_task(end.task) in own_shards
                 ],
-                foreign.cpu_millis,
-                foreign.memory_mb,
-                foreign.accelerators,
-                self._taken.count(entry_id),
-                self._taken.connection(entry_id),
+                foreign_usage.cpu_millis,
+                foreign_usage.memory_mb,
+                foreign_usage.accelerators,
+                self._received_starts.count(entry_id),
+                self._received_starts.connection(entry_id),
             ),
         )
--- a/hyssopring/jobs/agent_shutdown.py
+++ b/hyssopring/jobs/agent_shutdown.py
@@ -13,12 +13,12 @@
     """Notifies entries when the agent shuts down and nothing runs any more.
 
     Attributes:
-        is_begun: Whether the shutdown has begun, and no start is accepted.
+        has_begun: Whether the shutdown has begun, and no start is accepted.
     """
 
     def __init__(
         self,
-        watch: WorkerMonitor,
+        monitor: WorkerMonitor,
         table: AttemptTable,
         ends: Callable[[], Iterable[EndReport]],
         send: Callable[[str, JobsMessage], None],
@@ -29,12 +29,12 @@
             ends: Returns the ends that are not durable yet.
             send: Sends a message to the entry of the given ID.
         """
-        self._watch = watch
+        self._monitor = monitor
         self._table = table
         self._ends = ends
         self._send = send
         self._has_left = False
-        self.is_begun = False
+        self.has_begun = False
 
     @property
     def can_exit(self) -> bool:
@@ -43,17 +43,19 @@
         Only this agent knows when the hold of a silent worker expires. If it
         exited before, owners would have to wait for its longer grant to expire.
         """
-        return self._has_left or self._watch.is_answering
+        return self._has_left or self._monitor.is_answering
 
     def announce(self, entries: Iterable[str]) -> None:
         """Notify entries, once, when nothing can run here any more."""
-        if not self.is_begun or self._has_left:
+        if not self.has_begun or self._has_left:
             return
-        watch = self._watch
-        is_free = watch.announced.is_leaving or watch.has_lapsed
-        is_idle = is_free and not self._table.by_task
-        self._has_left = is_idle or watch.has_ended
+        monitor = self._monitor
+        is_worker_leaving_or_lost = (
+            monitor.announced.is_leaving or monitor.is_hold_expired
+        )
+        is_idle = is_worker_leaving_or_lost and not self._table.by_task
+        self._has_left = is_idle or monitor.has_withdrawn
         if self._has_left:
-            left = AgentLeft(watch.boot, list(self._ends()))
+            notice = AgentLeft(monitor.boot, list(self._ends()))
             for entry_id in entries:
-                self._send(entry_id, left)
+                self._send(entry_id, notice)
--- a/hyssopring/jobs/announced_state.py
+++ b/hyssopring/jobs/announced_state.py
@@ -24,7 +24,7 @@
         self._boot = ''
         self.service = ''
         self.labels: tuple[str, ...] = ()
-        self._room = Size()
+        self._capacity = Size()
         self._announced_at = clock.now()
         self._sequence = 0
         self._is_leaving = False
@@ -32,7 +32,7 @@
         self.withdrawn_at: float | None = None
 
     @classmethod
-    def of_boot(
+    def from_announcement(
         cls,
         clock: Clock,
         announced: Announcement,
@@ -45,10 +45,10 @@
         return state
 
     @property
-    def room(self) -> Size:
+    def capacity(self) -> Size:
         """Total resources of the worker; none if announced too long ago."""
         age_ms = self._clock.now() - self._announced_at
-        return self._room if age_ms <= CAPACITY_TTL_MS else Size()
+        return self._capacity if age_ms <= CAPACITY_TTL_MS else Size()
 
     @property
     def is_leaving(self) -> bool:
@@ -69,8 +69,8 @@
         self.service = announced.service
         self.labels = announced.labels
         self._announced_at = self._clock.now()
-        has_changed = announced.room != self._room
-        self._room = announced.room
+        has_changed = announced.room != self._capacity
+        self._capacity = announced.room
         if announced.is_leaving:
             self._leave(announced.remaining_ms)
         return has_changed
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -22,7 +22,7 @@
 UNKNOWN_PACE = -1
 # The number of tasks whose stops and refusals are kept, so that a start that
 # arrives after its own stop is not carried out.
-_MAX_CLOSED = 4000
+_MAX_CLOSED_TASKS = 4000
 
 
 class Phase(enum.Enum):
@@ -53,8 +53,8 @@
         pace: The allowed percentage of its processor time.
         tries: How often its start was sent to the worker.
         confirmed_at: When the worker confirmed the start, None before that.
-        stop_taken_at: When the worker accepted its stop, None before that.
-        is_stop_under_way: Whether a stop request is in flight or due to be
+        stop_accepted_at: When the worker accepted its stop, None before that.
+        is_stop_in_flight: Whether a stop request is in flight or due to be
             retried.
         is_trial: Whether it may crash the worker and was started alone.
     """
@@ -71,18 +71,18 @@
     pace: int = FULL_PACE
     tries: int = 0
     confirmed_at: float | None = None
-    stop_taken_at: float | None = None
-    is_stop_under_way: bool = False
+    stop_accepted_at: float | None = None
+    is_stop_in_flight: bool = False
     is_trial: bool = False
 
     @property
     def settled_at(self) -> float | None:
         """When the worker accepted the last request for it, None if never."""
-        if self.stop_taken_at is not None:
-            return self.stop_taken_at
+        if self.stop_accepted_at is not None:
+            return self.stop_accepted_at
         return self.confirmed_at
 
-    def charge(self) -> Size:
+    def reserved_size(self) -> Size:
         """Return the resources of the worker that the attempt uses."""
         facts = self.facts
         if facts is None:
@@ -100,15 +100,15 @@
         if self.confirmed_at is None:
             self.confirmed_at = now
 
-    def moved(self, now: float) -> 'Attempt':
+    def carried_over(self, now: float) -> 'Attempt':
         """Return the attempt as it runs on another incarnation."""
         return replace(
             self,
             phase=Phase.RUNNING,
             ordered_at=now,
             pace=UNKNOWN_PACE,
-            stop_taken_at=None,
-            is_stop_under_way=False,
+            stop_accepted_at=None,
+            is_stop_in_flight=False,
         )
 
     def report(self) -> AttemptReport:
@@ -129,7 +129,7 @@
     """The attempts by task, and which attempts may never start again."""
 
     by_task: dict[str, Attempt] = field(default_factory=dict)
-    _closed_by_task: dict[str, int] = field(default_factory=dict)
+    _closed_attempt_by_task: dict[str, int] = field(default_factory=dict)
 
     def add(self, attempt: Attempt) -> None:
         """Count an attempt against the worker's resources from now on."""
@@ -162,9 +162,9 @@
         listed = {(row.task, row.attempt) for row in listing.rows}
         for attempt in attempts:
             if (attempt.task, attempt.number) in listed:
-                self.add(attempt.moved(now))
+                self.add(attempt.carried_over(now))
 
-    def ended(self, task: str, number: int) -> None:
+    def remove(self, task: str, number: int) -> None:
         """Drop an attempt, and close it against another start."""
         known = self.by_task.get(task)
         if known is not None and known.number <= number:
@@ -179,41 +179,43 @@
             sent_at: When the poll was sent. An attempt counts as settled if
                 the worker accepted its last request before that.
         """
-        dropped = [
+        unlisted = [
             attempt
             for attempt in self.by_task.values()
             if attempt.task not in listed
             and attempt.settled_at is not None
             and attempt.settled_at < sent_at
         ]
-        for attempt in dropped:
-            self.ended(attempt.task, attempt.number)
-        return bool(dropped)
+        for attempt in unlisted:
+            self.remove(attempt.task, attempt.number)
+        return bool(unlisted)
 
     def close(self, task: str, number: int) -> None:
         """Refuse this attempt and older ones of the task from now on."""
-        closed = self._closed_by_task
+        closed = self._closed_attempt_by_task
         closed[task] = max(number, closed.pop(task, 0))
-        while len(closed) > _MAX_CLOSED:
+        while len(closed) > _MAX_CLOSED_TASKS:
             closed.pop(next(iter(closed)))
 
     def is_closed(self, task: str, number: int) -> bool:
         """Return whether this attempt may not start here."""
-        return number <= self._closed_by_task.get(task, 0)
+        return number <= self._closed_attempt_by_task.get(task, 0)
 
     @property
     def is_sized(self) -> bool:
         """Whether the requirements of all attempts are known."""
-        return all(each.facts is not None for each in self.by_task.values())
+        return all(
+            attempt.facts is not None for attempt in self.by_task.values()
+        )
 
     def used(self) -> Size:
         """Return the total resources that the attempts use."""
         total = Size()
         for attempt in self.by_task.values():
-            total = total.plus(attempt.charge())
+            total = total.plus(attempt.reserved_size())
         return total
 
     def clear(self) -> None:
         """Forget all attempts, for a new incarnation of the worker."""
         self.by_task.clear()
-        self._closed_by_task.clear()
+        self._closed_attempt_by_task.clear()
--- a/hyssopring/jobs/deadlines.py
+++ b/hyssopring/jobs/deadlines.py
@@ -9,8 +9,8 @@
 
 def answer_by(
     reactor: Any,
-    working: Deferred,
-    seconds: float,
+    work: Deferred,
+    timeout_s: float,
     late_answer: Any,
 ) -> Deferred:
     """Return a deferred of the outcome, or of a default at the deadline.
@@ -19,17 +19,17 @@
     undone, and others that wait for it must get its outcome.
 
     Args:
-        working: The work's outcome; an error before the deadline is passed on.
-        seconds: Time until the deadline.
+        work: The work's outcome; an error before the deadline is passed on.
+        timeout_s: Time until the deadline.
         late_answer: The result if the deadline passes first.
     """
     answer: Deferred = Deferred()
     timer = reactor.callLater(
-        max(0, seconds),
+        max(0, timeout_s),
         lambda: answer.callback(late_answer),
     )
 
-    def ended(outcome: Any) -> Any:  # noqa: WPS430 -- knows the timer
+    def finish(outcome: Any) -> Any:  # noqa: WPS430 -- knows the timer
         if not timer.active():
             # Twisted logs an error that comes after the deadline.
             return outcome
@@ -37,5 +37,5 @@
         answer.callback(outcome)
         return None
 
-    working.addBoth(ended)
+    work.addBoth(finish)
     return answer
--- a/hyssopring/jobs/discovery.py
+++ b/hyssopring/jobs/discovery.py
@@ -22,8 +22,8 @@
 # Seeds answer within a few ms. An agent without a connection for the first
 # time reads the store, and repeats after one to two times the second, randomly
 # so that agents do not read it at once.
-_ALONE_MS: Final = 800.0
-_AGAIN_MS: Final = 1500.0
+_NO_ENTRY_MS: Final = 800.0
+_RETRY_MS: Final = 1500.0
 
 
 class EntryDiscovery:
@@ -45,27 +45,29 @@
         self._store = store
         self._dialler = dialler
         self._rng = rng
-        self._next_at = clock.now() + _ALONE_MS
-        self._odd = RowParser()
+        self._next_read_at = clock.now() + _NO_ENTRY_MS
+        self._parser = RowParser()
 
     def tick(self) -> None:
         """Read the store if needed; call a few times a second."""
         now = self._clock.now()
         if self._dialler.connected:
-            self._next_at = now + _ALONE_MS
-        elif now >= self._next_at:
-            self._next_at = now + self._rng.uniform(1, 2) * _AGAIN_MS
+            self._next_read_at = now + _NO_ENTRY_MS
+        elif now >= self._next_read_at:
+            self._next_read_at = now + self._rng.uniform(1, 2) * _RETRY_MS
             reading = self._store.read(ENTRIES_TABLE, '')
-            reading.addCallback(self._found)
-            reading.addErrback(_later)
+            reading.addCallback(self._add_addresses)
+            reading.addErrback(_ignore_store_error)
 
-    def _found(self, page: Page) -> None:
-        rows = [self._odd.parse(EntryRow.from_text, row) for row in page.rows]
+    def _add_addresses(self, page: Page) -> None:
+        rows = [
+            self._parser.parse(EntryRow.from_text, row) for row in page.rows
+        ]
         self._dialler.add_addresses(
             row.address for row in rows if row is not None
         )
 
 
-def _later(failure: TwistedFailure) -> Any:
+def _ignore_store_error(failure: TwistedFailure) -> Any:
     """Ignore an error of the store; a later call tries again."""
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/fences.py
+++ b/hyssopring/jobs/fences.py
@@ -32,13 +32,13 @@
         """Raise the fence."""
         self.current = max(self.current + 1, int(self._wall_ms()))
 
-    def refused(self, fence: int) -> None:
+    def raise_above(self, fence: int) -> None:
         """Raise the fence after the worker rejected this one as too low."""
         if fence < self.current:
             return
         self.current = max(fence + self._step, int(self._wall_ms()))
         self._step = min(2 * self._step, _MAX_STEP)
 
-    def taken(self) -> None:
+    def reset_step(self) -> None:
         """Reset the step after the worker accepted a request."""
         self._step = 1
--- a/hyssopring/jobs/orders.py
+++ b/hyssopring/jobs/orders.py
@@ -21,7 +21,7 @@
 
 # Delay before an unanswered request is repeated. A worker starts the same
 # attempt only once.
-_REPEAT_MS: Final = 100.0
+_RETRY_DELAY_MS: Final = 100.0
 # After this many tries a start is abandoned with a stop, which also keeps
 # copies in flight from being carried out.
 _MAX_TRIES: Final = 6
@@ -35,7 +35,7 @@
         reactor: Any,
         clock: Clock,
         port: WorkerPort,
-        watch: WorkerMonitor,
+        monitor: WorkerMonitor,
         table: AttemptTable,
         on_refused: Callable[[Attempt, str], None],
     ) -> None:
@@ -48,7 +48,7 @@
         self._reactor = reactor
         self._clock = clock
         self._port = port
-        self._watch = watch
+        self._monitor = monitor
         self._table = table
         self._on_refused = on_refused
 
@@ -58,17 +58,17 @@
             return
         if attempt.phase is not Phase.STARTING:
             return
-        if not self._watch.is_answering:
+        if not self._monitor.is_answering:
             # The next incarnation might carry it out.
-            self._again(self.start, order, attempt)
+            self._retry_later(self.start, order, attempt)
             return
         if attempt.tries >= _MAX_TRIES or not self._has_room(attempt):
             self.stop(attempt)
             return
         attempt.tries += 1
-        watch = self._watch
-        fence = watch.fences.current
-        asked = self._port.start(
+        monitor = self._monitor
+        fence = monitor.fences.current
+        answer = self._port.start(
             StartRequest(
                 order.boot,
                 fence,
@@ -76,13 +76,13 @@
                 attempt.number,
                 order.payload,
                 order.checkpoint,
-                watch.worker_time(watch.hold_until()),
+                monitor.to_worker_clock(monitor.extend_hold()),
                 order.ticket,
             ),
         )
-        asked.addCallbacks(
-            self._started,
-            self._unanswered,
+        answer.addCallbacks(
+            self._handle_start_outcome,
+            self._handle_no_answer,
             callbackArgs=(fence, order, attempt),
             errbackArgs=(fence, self.start, order, attempt),
         )
@@ -90,43 +90,43 @@
     def stop(self, attempt: Attempt) -> None:
         """Stop an attempt; repeat until the worker accepts the stop."""
         attempt.phase = Phase.STOPPING
-        if attempt.is_stop_under_way or attempt.stop_taken_at is not None:
+        if attempt.is_stop_in_flight or attempt.stop_accepted_at is not None:
             return
-        self._send_stop(self._watch.boot, attempt)
+        self._send_stop(self._monitor.boot, attempt)
 
     def set_pace(self, attempt: Attempt, percent: int) -> None:
         """Limit an attempt to this percentage of its processor time."""
         attempt.pace = percent
-        watch = self._watch
-        asked = self._port.set_pace(
-            watch.boot,
-            watch.fences.current,
+        monitor = self._monitor
+        answer = self._port.set_pace(
+            monitor.boot,
+            monitor.fences.current,
             attempt.task,
             attempt.number,
             percent,
         )
-        asked.addErrback(self._pace_unknown, attempt)
+        answer.addErrback(self._handle_pace_error, attempt)
 
     def _send_stop(self, boot: str, attempt: Attempt) -> None:
-        attempt.is_stop_under_way = False
+        attempt.is_stop_in_flight = False
         if not self._is_current(boot, attempt):
             return
-        attempt.is_stop_under_way = True
-        fence = self._watch.fences.current
-        asked = self._port.stop(
+        attempt.is_stop_in_flight = True
+        fence = self._monitor.fences.current
+        answer = self._port.stop(
             boot,
             fence,
             attempt.task,
             attempt.number,
         )
-        asked.addCallbacks(
-            self._stopped,
-            self._unanswered,
+        answer.addCallbacks(
+            self._handle_stop_accepted,
+            self._handle_no_answer,
             callbackArgs=(attempt,),
             errbackArgs=(fence, self._send_stop, boot, attempt),
         )
 
-    def _started(
+    def _handle_start_outcome(
         self,
         outcome: StartOutcome,
         fence: int,
@@ -134,7 +134,7 @@
         attempt: Attempt,
     ) -> None:
         if outcome is not StartOutcome.FENCED:
-            self._watch.fences.taken()
+            self._monitor.fences.reset_step()
         if not self._is_current(order.boot, attempt):
             return
         if outcome is StartOutcome.STARTED:
@@ -142,15 +142,17 @@
                 attempt.phase = Phase.RUNNING
             attempt.confirmed_at = self._clock.now()
         elif outcome in {StartOutcome.FENCED, StartOutcome.LATE}:
-            self._watch.fences.refused(fence)
-            self._again(self.start, order, attempt)
+            self._monitor.fences.raise_above(fence)
+            self._retry_later(self.start, order, attempt)
         elif attempt.tries > 1:
-            self._copy_refused(outcome, attempt)
+            self._handle_refused_retry(outcome, attempt)
         else:
-            self._table.ended(attempt.task, attempt.number)
+            self._table.remove(attempt.task, attempt.number)
             self._on_refused(attempt, outcome.value)
 
-    def _copy_refused(self, outcome: StartOutcome, attempt: Attempt) -> None:
+    def _handle_refused_retry(
+        self, outcome: StartOutcome, attempt: Attempt
+    ) -> None:
         """Handle the refusal of a repeated start.
 
         An earlier, unanswered copy may still be carried out. If the attempt
@@ -163,26 +165,32 @@
         else:
             self.stop(attempt)
 
-    def _stopped(self, _taken: object, attempt: Attempt) -> None:
-        attempt.is_stop_under_way = False
-        attempt.stop_taken_at = self._clock.now()
+    def _handle_stop_accepted(self, _answer: object, attempt: Attempt) -> None:
+        attempt.is_stop_in_flight = False
+        attempt.stop_accepted_at = self._clock.now()
 
-    def _unanswered(
+    def _handle_no_answer(
         self,
         failure: TwistedFailure,
         fence: int,
-        again: Callable[..., None],
-        *order: Any,
+        action: Callable[..., None],
+        *arguments: Any,
     ) -> None:
         failure.trap(WorkerUnreachable, WorkerReplaced)
         if failure.check(WorkerFenced):
-            self._watch.fences.refused(fence)
-        self._again(again, *order)
+            self._monitor.fences.raise_above(fence)
+        self._retry_later(action, *arguments)
 
-    def _again(self, again: Callable[..., None], *order: Any) -> None:
-        self._reactor.callLater(_REPEAT_MS / MILLIS_PER_SECOND, again, *order)
+    def _retry_later(
+        self, action: Callable[..., None], *arguments: Any
+    ) -> None:
+        self._reactor.callLater(
+            _RETRY_DELAY_MS / MILLIS_PER_SECOND, action, *arguments
+        )
 
-    def _pace_unknown(self, failure: TwistedFailure, attempt: Attempt) -> None:
+    def _handle_pace_error(
+        self, failure: TwistedFailure, attempt: Attempt
+    ) -> None:
         """Mark the pace as unknown so that the next listing sets it again."""
         failure.trap(WorkerUnreachable, WorkerReplaced)
         attempt.pace = UNKNOWN_PACE
@@ -191,10 +199,10 @@
         """Return whether a repeated start still fits; the first one did."""
         if not attempt.tries:
             return True
-        return self._table.used().fits_in(self._watch.announced.room)
+        return self._table.used().fits_in(self._monitor.announced.capacity)
 
     def _is_current(self, boot: str, attempt: Attempt) -> bool:
         return (
-            boot == self._watch.boot
+            boot == self._monitor.boot
             and self._table.by_task.get(attempt.task) is attempt
         )
--- a/hyssopring/jobs/past_incarnation.py
+++ b/hyssopring/jobs/past_incarnation.py
@@ -10,10 +10,10 @@
 
 # A start cannot be the cause of a crash if the worker still answered this long
 # after it.
-_STARTING_MS: Final = MILLIS_PER_SECOND
+_CRASH_WINDOW_MS: Final = MILLIS_PER_SECOND
 # An unanswered start may have arrived if the worker had answered another
 # request at most this long before.
-_ALIVE_MS: Final = 600.0
+_REACHABLE_MS: Final = 600.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,16 +42,21 @@
         if not attempt.tries:
             # A former agent started it; the time of its start is unknown.
             return False
-        if self.heard_at - attempt.ordered_at >= _STARTING_MS:
+        if self.heard_at - attempt.ordered_at >= _CRASH_WINDOW_MS:
             return False
-        return attempt.confirmed_at is not None or self._may_have_come(attempt)
+        return attempt.confirmed_at is not None or self._may_have_arrived(
+            attempt
+        )
 
-    def _may_have_come(self, attempt: Attempt) -> bool:
+    def _may_have_arrived(self, attempt: Attempt) -> bool:
         """Return whether an unanswered start may have reached the worker.
 
         A start that was repeated would have been listed by then.
         """
-        if attempt.tries > 1 or attempt.ordered_at - self.heard_at > _ALIVE_MS:
+        if (
+            attempt.tries > 1
+            or attempt.ordered_at - self.heard_at > _REACHABLE_MS
+        ):
             return False
         failing_since = self.failing_since
         return failing_since is None or attempt.ordered_at < failing_since
--- a/hyssopring/jobs/peer_requests.py
+++ b/hyssopring/jobs/peer_requests.py
@@ -11,7 +11,7 @@
 
 # Round trips between entries take about a millisecond. After this timeout the
 # store is read instead.
-_ASK_S: Final = 0.4
+_TIMEOUT_S: Final = 0.4
 
 
 class PeerTransport(Protocol):
@@ -32,19 +32,19 @@
         self._reactor = reactor
         self._peers = peers
         self._number = 0
-        self._asked_by_number: dict[int, Deferred] = {}
+        self._response_by_number: dict[int, Deferred] = {}
 
     def ask(
         self,
         entry_id: str,
-        question: Callable[[int], JobsMessage],
-        timeout_s: float = _ASK_S,
+        make_request: Callable[[int], JobsMessage],
+        timeout_s: float = _TIMEOUT_S,
     ) -> Deferred:
         """Send a request to another entry.
 
         Args:
             entry_id: The other entry, empty if there is none.
-            question: Returns the message of the given request number.
+            make_request: Returns the message of the given request number.
 
         Returns:
             A deferred of the answer; None if the entry is not connected or
@@ -52,19 +52,21 @@
         """
         self._number += 1
         number = self._number
-        if not entry_id or not self._peers.to_entry(entry_id, question(number)):
+        if not entry_id or not self._peers.to_entry(
+            entry_id, make_request(number)
+        ):
             return succeed(None)
-        asked: Deferred = Deferred()
-        self._asked_by_number[number] = asked
-        asked.addTimeout(timeout_s, self._reactor)
-        asked.addErrback(self._unanswered, number)
-        return asked
+        response: Deferred = Deferred()
+        self._response_by_number[number] = response
+        response.addTimeout(timeout_s, self._reactor)
+        response.addErrback(self._forget_request, number)
+        return response
 
     def answered(self, number: int, answer: Any) -> None:
         """Pass an answer to its request; drop it after the timeout."""
-        asked = self._asked_by_number.pop(number, None)
-        if asked is not None:
-            asked.callback(answer)
+        response = self._response_by_number.pop(number, None)
+        if response is not None:
+            response.callback(answer)
 
-    def _unanswered(self, _failure: TwistedFailure, number: int) -> None:
-        self._asked_by_number.pop(number, None)
+    def _forget_request(self, _failure: TwistedFailure, number: int) -> None:
+        self._response_by_number.pop(number, None)
--- a/hyssopring/jobs/poll_backoff.py
+++ b/hyssopring/jobs/poll_backoff.py
@@ -2,12 +2,12 @@
 
 from typing import Final
 
-__all__ = ('ANSWER_MS', 'PollBackoff')
+__all__ = ('MAX_TIMEOUT_MS', 'PollBackoff')
 
 # Longest timeout of a poll. The worker is on the same VM and answers within a
 # few ms unless the VM is overloaded.
-ANSWER_MS: Final = 700.0
-_FIRST_ANSWER_MS: Final = 100.0
+MAX_TIMEOUT_MS: Final = 700.0
+_FIRST_TIMEOUT_MS: Final = 100.0
 _FIRST_PAUSE_MS: Final = 20.0
 _MAX_PAUSE_MS: Final = 150.0
 # Further doublings exceed both limits.
@@ -23,20 +23,20 @@
 
     def __init__(self) -> None:
         """Begin with the shortest timeout and pause."""
-        self._failed = 0
+        self._failures = 0
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """Reset timeout and pause after an answer."""
-        self._failed = 0
+        self._failures = 0
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Count an unanswered poll."""
-        self._failed += 1
+        self._failures += 1
 
     @property
-    def answer_ms(self) -> float:
+    def timeout_ms(self) -> float:
         """Timeout of the next poll."""
-        return min(_FIRST_ANSWER_MS * self._factor, ANSWER_MS)
+        return min(_FIRST_TIMEOUT_MS * self._factor, MAX_TIMEOUT_MS)
 
     @property
     def pause_ms(self) -> float:
@@ -45,4 +45,4 @@
 
     @property
     def _factor(self) -> float:
-        return 2.0 ** min(self._failed, _MAX_DOUBLINGS)
+        return 2.0 ** min(self._failures, _MAX_DOUBLINGS)
--- a/hyssopring/jobs/received_starts.py
+++ b/hyssopring/jobs/received_starts.py
@@ -7,7 +7,7 @@
 
 # Connections of an entry whose counts are kept: the current one, and recent
 # ones whose messages may still be unread.
-_KEPT: Final = 4
+_MAX_CONNECTIONS: Final = 4
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
     """Received starts by connection ID, and the current connection's ID."""
 
     connection: str = ''
-    by_connection: dict[str, int] = field(default_factory=dict)
+    count_by_connection: dict[str, int] = field(default_factory=dict)
 
 
 class ReceivedStarts:
@@ -30,33 +30,35 @@
 
     def __init__(self) -> None:
         """Begin without any connection."""
-        self._by_entry: dict[str, _Counts] = {}
+        self._counts_by_entry: dict[str, _Counts] = {}
 
-    def begin(self, entry_id: str, connection: str) -> None:
+    def set_connection(self, entry_id: str, connection: str) -> None:
         """Set an entry's current connection; starts on others become void.
 
         Counts are kept, so that a connection continues from its own count
         after a delayed message of an earlier connection.
         """
-        counts = self._by_entry.setdefault(entry_id, _Counts())
+        counts = self._counts_by_entry.setdefault(entry_id, _Counts())
         counts.connection = connection
-        counts.by_connection.setdefault(connection, 0)
-        while len(counts.by_connection) > _KEPT:
-            counts.by_connection.pop(next(iter(counts.by_connection)))
+        counts.count_by_connection.setdefault(connection, 0)
+        while len(counts.count_by_connection) > _MAX_CONNECTIONS:
+            counts.count_by_connection.pop(
+                next(iter(counts.count_by_connection))
+            )
 
     def record(self, entry_id: str, connection: str) -> bool:
         """Count a start; return False if it is void, of another connection."""
         if not connection or connection != self.connection(entry_id):
             return False
-        self._by_entry[entry_id].by_connection[connection] += 1
+        self._counts_by_entry[entry_id].count_by_connection[connection] += 1
         return True
 
     def count(self, entry_id: str) -> int:
         """Return the number of starts received on the current connection."""
-        counts = self._by_entry.get(entry_id)
-        return counts.by_connection[counts.connection] if counts else 0
+        counts = self._counts_by_entry.get(entry_id)
+        return counts.count_by_connection[counts.connection] if counts else 0
 
     def connection(self, entry_id: str) -> str:
         """Return the entry's ID of its current connection, empty for none."""
-        counts = self._by_entry.get(entry_id)
+        counts = self._counts_by_entry.get(entry_id)
         return counts.connection if counts else ''
--- a/hyssopring/jobs/stall_detector.py
+++ b/hyssopring/jobs/stall_detector.py
@@ -8,12 +8,12 @@
 
 # Ticks come at least every 200 ms. After a gap longer than this the process
 # was suspended or overloaded, and messages from peers may be unread.
-_LATE_MS: Final = 600.0
+_MAX_GAP_MS: Final = 600.0
 # Ticks on time after which all messages received during the stall are read.
-_TURNS_TO_READ: Final = 3
+_CATCH_UP_TICKS: Final = 3
 # A process that stalls repeatedly applies timeouts again after this time.
 # Otherwise it would never declare a VM lost.
-_LONGEST_MS: Final = 3000.0
+_MAX_STALLED_MS: Final = 3000.0
 
 
 class StallDetector:
@@ -27,26 +27,29 @@
     def __init__(self, clock: Clock) -> None:
         """Expect ticks several times a second from now on."""
         self._clock = clock
-        self._turned_at = clock.now()
-        self._blind_since: float | None = None
-        self._turns_left = 0
+        self._last_tick_at = clock.now()
+        self._stalled_since: float | None = None
+        self._catch_up_ticks_left = 0
 
     def record_tick(self) -> bool:
         """Record a tick; return whether timeouts of peers are meaningful."""
         now = self._clock.now()
-        is_late = now - self._turned_at > _LATE_MS
+        is_late = now - self._last_tick_at > _MAX_GAP_MS
         if is_late:
-            if self._blind_since is None:
-                self._blind_since = now
-            self._turns_left = _TURNS_TO_READ
-        self._turned_at = now
-        if self._blind_since is None:
+            if self._stalled_since is None:
+                self._stalled_since = now
+            self._catch_up_ticks_left = _CATCH_UP_TICKS
+        self._last_tick_at = now
+        if self._stalled_since is None:
             return True
         if is_late:
             return False
-        self._turns_left -= 1
-        if self._turns_left and now - self._blind_since < _LONGEST_MS:
+        self._catch_up_ticks_left -= 1
+        if (
+            self._catch_up_ticks_left
+            and now - self._stalled_since < _MAX_STALLED_MS
+        ):
             return False
-        self._blind_since = None
-        self._turns_left = 0
+        self._stalled_since = None
+        self._catch_up_ticks_left = 0
         return True
--- a/hyssopring/jobs/store_clock.py
+++ b/hyssopring/jobs/store_clock.py
@@ -7,7 +7,7 @@
 
 __all__ = ('StoreClock',)
 
-_FASTEST: Final = 1 + CLOCK_DRIFT
+_MAX_RATE: Final = 1 + CLOCK_DRIFT
 
 
 class StoreClock:
@@ -41,10 +41,10 @@
     def latest_reading(self, at: float) -> float:
         """Return an upper bound of the store's clock at ``at``."""
         assert self._reading_ms is not None, 'a reading is known'
-        return self._reading_ms + max(0, at - self._sent_at) * _FASTEST
+        return self._reading_ms + max(0, at - self._sent_at) * _MAX_RATE
 
     def passed_at(self, reading_ms: float) -> float:
         """Return a time by which the store's clock has passed a reading."""
         assert self._reading_ms is not None, 'a reading is known'
         left_ms = max(0, reading_ms - self._reading_ms)
-        return self._received_at + left_ms * _FASTEST
+        return self._received_at + left_ms * _MAX_RATE
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -14,14 +14,14 @@
 
 # A worker that has not answered its agent for this long gets no new task.
 _SILENT_MS: Final = 1500
-_REPORTS_TO_SHOW: Final = 2
+_UNMEASURED_REPORTS: Final = 2
 # Below this percentage of full pace a best-effort task counts as slowed down,
 # and its usage does not show what it would use at full pace.
 _SLOW_PACE: Final = 40
 _FULL_PACE: Final = 100
 # The first measurements of a best-effort task may cover only a part of their
 # interval; it counts with at least this share of its request.
-_LEAST_USE: Final = 0.5
+_MIN_USAGE_SHARE: Final = 0.5
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
         pace: Allowed percentage of its processor time; negative if unknown.
         reports: The number of reports that included it.
         slow_since: Since when its pace has been low, None if it is not.
-        seen_since: When a report first included it.
+        observed_since: When a report first included it.
         observed_ms: How long from then on its worker has been answering.
     """
 
@@ -55,7 +55,7 @@
     reports: int = 0
     slow_since: float | None = None
     is_stopping: bool = False
-    seen_since: float | None = None
+    observed_since: float | None = None
     observed_ms: float = 0
 
     @property
@@ -64,7 +64,7 @@
 
         Measurements cover 500 ms and are reported as often.
         """
-        return self.reports > _REPORTS_TO_SHOW
+        return self.reports > _UNMEASURED_REPORTS
 
     @property
     def cpu_in_use(self) -> float:
@@ -73,40 +73,46 @@
         Tasks use less than they request, some by a third. Counting requests
         would leave a worker's processors idle for a quarter of the time.
         """
-        asked = self.step.size.cpu_millis * max(self.pace, 0) / _FULL_PACE
+        requested_millis = (
+            self.step.size.cpu_millis * max(self.pace, 0) / _FULL_PACE
+        )
         if self.has_measured_usage:
-            return max(self.load, _LEAST_USE * asked)
-        return asked
+            return max(self.load, _MIN_USAGE_SHARE * requested_millis)
+        return requested_millis
 
     @property
     def cpu_at_full_pace(self) -> float:
         """Thousandths of a core that a best-effort task uses at full pace."""
-        asked = self.step.size.cpu_millis
+        requested_millis = self.step.size.cpu_millis
         if self.has_measured_usage and self.pace >= _SLOW_PACE:
-            return min(asked, self.cpu_in_use * _FULL_PACE / self.pace)
-        return asked
+            return min(
+                requested_millis, self.cpu_in_use * _FULL_PACE / self.pace
+            )
+        return requested_millis
 
     def slow_ms(self, now: float) -> float:
         """Return for how many milliseconds its pace has been low."""
         return 0 if self.slow_since is None else now - self.slow_since
 
-    def update(self, told: AttemptReport, now: float, silent_ms: float) -> None:
+    def update(
+        self, reported: AttemptReport, now: float, silent_ms: float
+    ) -> None:
         """Apply the attempt's part of a report.
 
         Args:
             silent_ms: How long the worker has not answered its agent.
         """
         self.reports += 1
-        if self.seen_since is None:
-            self.seen_since = now
-        self.observed_ms = now - silent_ms - self.seen_since
-        if told.pace >= _SLOW_PACE:
+        if self.observed_since is None:
+            self.observed_since = now
+        self.observed_ms = now - silent_ms - self.observed_since
+        if reported.pace >= _SLOW_PACE:
             self.slow_since = None
         elif self.slow_since is None:
             self.slow_since = now
-        self.percent = told.percent
-        self.load = told.load
-        self.pace = told.pace
+        self.percent = reported.percent
+        self.load = reported.load
+        self.pace = reported.pace
 
 
 @dataclass
@@ -247,5 +253,5 @@
         report = self.report
         if not self.is_connected or report is None or self.placed_by_task:
             return False
-        unheld_ms = HOLD_EXPIRY_MS + _SILENT_MS
-        return not report.attempts and report.silent_ms >= unheld_ms
+        hold_expiry_ms = HOLD_EXPIRY_MS + _SILENT_MS
+        return not report.attempts and report.silent_ms >= hold_expiry_ms
--- a/tests/test_fences.py
+++ b/tests/test_fences.py
@@ -19,9 +19,9 @@
     """Guards against an agent that never reaches a worker's higher fence."""
     fences = FenceCounter(lambda: WALL_MS)
     fences.advance()
-    seen_by_worker, refusals = WALL_MS + 10**9, 0
-    while fences.current < seen_by_worker:
-        fences.refused(fences.current)
+    highest_seen, refusals = WALL_MS + 10**9, 0
+    while fences.current < highest_seen:
+        fences.raise_above(fences.current)
         refusals += 1
     assert refusals < 35
 
@@ -31,7 +31,7 @@
     fences = FenceCounter(lambda: WALL_MS)
     fences.advance()
     first = fences.current
-    fences.refused(first)
+    fences.raise_above(first)
     once = fences.current
-    fences.refused(first)
+    fences.raise_above(first)
     assert fences.current == once
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -71,11 +71,11 @@
     late = worker.announcement()
     worker.crash()
     deployment.run(3)
-    watch = deployment.agents['agent-0'].core.monitor
-    assert watch.boot == worker.boot
-    watch.announce(late)
+    monitor = deployment.agents['agent-0'].core.monitor
+    assert monitor.boot == worker.boot
+    monitor.announce(late)
     deployment.run(1)
-    assert watch.boot == worker.boot
+    assert monitor.boot == worker.boot
     job = a_job()
     deployment.submit(job)
     deployment.run(3)
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -19,7 +19,7 @@
 from standins.jobs.deployment import a_job, settled, starts_of
 
 
-def one(work_ms=1000):
+def deployment_with_job(work_ms=1000):
     """Return a deployment of one entry and agent, and a job of one task."""
     deployment = settled(workers=1, entries=1, work_ms=lambda task: work_ms)
     job = a_job(steps=((1, ()),))
@@ -37,7 +37,7 @@
     If the agent treated the answer as an accepted stop, a cancelled task would
     run to its end.
     """
-    deployment, job = one(work_ms=20_000)
+    deployment, job = deployment_with_job(work_ms=20_000)
     deployment.run(1)
     deployment.workers[0].fence += 1
     cancel(deployment, job)
@@ -47,7 +47,7 @@
 
 def test_a_stop_overtaken_by_a_start_with_a_raised_fence_is_sent_again():
     """A start is refused as late and raises the fence while a stop is sent."""
-    deployment, job = one(work_ms=20_000)
+    deployment, job = deployment_with_job(work_ms=20_000)
     deployment.run(1)
     worker = deployment.workers[0]
     start, stop = worker._start, worker.stop
@@ -81,7 +81,7 @@
     If the owner did not repeat the message, the worker would list the end
     forever and answer each poll without waiting.
     """
-    deployment, _job = one()
+    deployment, _job = deployment_with_job()
     agent = deployment.agents['agent-0']
     take, lost = agent.take, []
 
@@ -104,7 +104,7 @@
     Its worker has not got the acknowledgement, and lists the end to the next
     agent.
     """
-    deployment, _job = one()
+    deployment, _job = deployment_with_job()
     agent, worker = deployment.agents['agent-0'], deployment.workers[0]
     take, heard = agent.take, []
 
@@ -130,7 +130,7 @@
     owner would take them for still in flight, and a lost one would never be
     repeated.
     """
-    deployment, _job = one(work_ms=3000)
+    deployment, _job = deployment_with_job(work_ms=3000)
     deployment.run(0.3)
     agent = deployment.agents['agent-0']
     owned = deployment.entries['entry-0'].core.owner.shards.by_shard[0]
@@ -143,7 +143,7 @@
     task = next(
         task for task in agent.core.table.by_task if task.startswith(job.job_id)
     )
-    agent.core.table.ended(task, agent.core.table.by_task[task].number)
+    agent.core.table.remove(task, agent.core.table.by_task[task].number)
     deployment.workers[0].runs.pop(task)
     deployment.book.running[task].clear()
     deployment.run(3)
@@ -152,14 +152,14 @@
 
 def test_a_start_of_an_earlier_connection_is_void():
     """Guards against counting it among the starts of the new connection."""
-    taken = ReceivedStarts()
-    taken.begin('entry', 'old')
-    assert taken.record('entry', 'old')
-    taken.begin('entry', 'new')
-    assert not taken.record('entry', 'old')
-    assert taken.count('entry') == 0
-    assert taken.record('entry', 'new')
-    assert taken.count('entry') == 1
+    starts = ReceivedStarts()
+    starts.set_connection('entry', 'old')
+    assert starts.record('entry', 'old')
+    starts.set_connection('entry', 'new')
+    assert not starts.record('entry', 'old')
+    assert starts.count('entry') == 0
+    assert starts.record('entry', 'new')
+    assert starts.count('entry') == 1
 
 
 class StoppedClock:
@@ -227,7 +227,7 @@
     A former owner started it. The owner must not treat its outdated record on
     the same worker as another running attempt, and stop this one.
     """
-    deployment, job = one(work_ms=3000)
+    deployment, job = deployment_with_job(work_ms=3000)
     deployment.run(0.5)
     fleet = deployment.entries['entry-0'].core.fleet
     (placed,) = fleet.by_agent['agent-0'].placed_by_task.values()
@@ -238,7 +238,7 @@
 
 def test_a_report_that_counts_for_another_connection_ends_nothing():
     """It may have been sent before a start that it does not list arrived."""
-    deployment, _job = one(work_ms=3000)
+    deployment, _job = deployment_with_job(work_ms=3000)
     deployment.run(0.5)
     worker = deployment.entries['entry-0'].core.fleet.by_agent['agent-0']
     (placed,) = worker.placed_by_task.values()
@@ -253,18 +253,20 @@
     The worker's clock stood still, and its tasks keep running. The agent must
     not treat the gap of 9 s as a silent worker and report its tasks as ended.
     """
-    deployment, _job = one(work_ms=20_000)
+    deployment, _job = deployment_with_job(work_ms=20_000)
     deployment.run(1)
     agent = deployment.agents['agent-0']
-    watch, lapses = agent.core.monitor, []
-    watch.on_lapse = lambda: lapses.append(deployment.reactor.seconds())
+    monitor, expired_at = agent.core.monitor, []
+    monitor.on_hold_expired = lambda: expired_at.append(
+        deployment.reactor.seconds()
+    )
     deployment.workers[0].is_dark = True
     deployment.run(0.7)
-    watch._heard_at -= 9000
-    watch._held_until -= 9000
-    watch._inherited_until -= 9000
-    watch._stalls._turned_at -= 9000
-    watch.check()
-    assert not lapses
+    monitor._answered_at -= 9000
+    monitor._hold_until -= 9000
+    monitor._inherited_hold_until -= 9000
+    monitor._stall_detector._last_tick_at -= 9000
+    monitor.check()
+    assert not expired_at
     deployment.run(1.5)
-    assert lapses
+    assert expired_at
--- a/tests/test_jobs_stalls.py
+++ b/tests/test_jobs_stalls.py
@@ -36,30 +36,30 @@
     assert len(starts_of(deployment, job)) == 5
 
 
-def turns(clock, watch, *gaps_ms):
+def record_ticks(clock, detector, *gaps_ms):
     """Return the detector's answers at ticks that are these gaps apart."""
-    told = []
+    answers = []
     for gap_ms in gaps_ms:
         clock.advance(gap_ms)
-        told.append(watch.record_tick())
-    return told
+        answers.append(detector.record_tick())
+    return answers
 
 
 def test_timeouts_apply_again_after_ticks_on_time():
     """Messages received during a stall must be read before timeouts apply."""
     clock = ManualClock(0)
-    watch = StallDetector(clock)
-    assert turns(clock, watch, 200, 900) == [True, False]
-    assert turns(clock, watch, 200, 200, 200) == [False, False, True]
-    assert turns(clock, watch, 900, 200, 900) == [False, False, False]
-    assert turns(clock, watch, 200, 200, 200) == [False, False, True]
+    detector = StallDetector(clock)
+    assert record_ticks(clock, detector, 200, 900) == [True, False]
+    assert record_ticks(clock, detector, 200, 200, 200) == [False, False, True]
+    assert record_ticks(clock, detector, 900, 200, 900) == [False, False, False]
+    assert record_ticks(clock, detector, 200, 200, 200) == [False, False, True]
 
 
 def test_timeouts_apply_in_a_process_that_stalls_repeatedly():
     """Guards against a lost VM whose tasks never start elsewhere."""
     clock = ManualClock(0)
-    watch = StallDetector(clock)
-    told = turns(clock, watch, *(20 * [700, 200]))
-    assert not any(told[:4])
-    assert sum(told) >= 4
-    assert not any(told[::2])
+    detector = StallDetector(clock)
+    answers = record_ticks(clock, detector, *(20 * [700, 200]))
+    assert not any(answers[:4])
+    assert sum(answers) >= 4
+    assert not any(answers[::2])
--- a/tests/test_look_retries.py
+++ b/tests/test_look_retries.py
@@ -1,14 +1,14 @@
 """Exponential backoff of the polls of a worker."""
 
-from hyssopring.jobs.poll_backoff import ANSWER_MS, PollBackoff
+from hyssopring.jobs.poll_backoff import MAX_TIMEOUT_MS, PollBackoff
 
 
 def test_times_double_up_to_their_limits():
-    retries = PollBackoff()
-    first = retries.answer_ms
+    backoff = PollBackoff()
+    first = backoff.timeout_ms
     for _each in range(20):
-        retries.failed()
-    assert first < retries.answer_ms == ANSWER_MS
-    assert retries.pause_ms < ANSWER_MS
-    retries.answered()
-    assert retries.answer_ms == first
+        backoff.record_failure()
+    assert first < backoff.timeout_ms == MAX_TIMEOUT_MS
+    assert backoff.pause_ms < MAX_TIMEOUT_MS
+    backoff.reset()
+    assert backoff.timeout_ms == first
--- a/tests/test_worker_lives.py
+++ b/tests/test_worker_lives.py
@@ -8,7 +8,7 @@
 HEARD_AT = 10_000
 
 
-def past(failing_since=None, is_planned=False):
+def incarnation(failing_since=None, is_planned=False):
     return PastIncarnation('boot', HEARD_AT, failing_since, is_planned)
 
 
@@ -25,33 +25,33 @@
 def test_only_a_start_in_the_last_second_may_have_crashed_a_worker(
     ordered_at, is_suspect
 ):
-    assert bool(past().suspects([attempt(ordered_at)])) is is_suspect
+    assert bool(incarnation().suspects([attempt(ordered_at)])) is is_suspect
 
 
 def test_nothing_has_crashed_a_worker_that_said_that_it_leaves():
     """Guards against a planned shutdown that counts as a crash."""
-    assert not past(is_planned=True).suspects([attempt(HEARD_AT)])
+    assert not incarnation(is_planned=True).suspects([attempt(HEARD_AT)])
 
 
 def test_a_start_sent_to_a_dead_worker_has_crashed_nothing():
     """Guards against a start that never arrived counting as the cause."""
     late = attempt(HEARD_AT + 300, is_confirmed=False)
-    assert past(failing_since=HEARD_AT + 400).suspects([late])
-    assert not past(failing_since=HEARD_AT + 200).suspects([late])
+    assert incarnation(failing_since=HEARD_AT + 400).suspects([late])
+    assert not incarnation(failing_since=HEARD_AT + 200).suspects([late])
 
 
 def test_a_start_sent_into_a_long_silence_has_crashed_nothing():
     """Guards against an unreachable worker's starts counting as causes."""
     late = attempt(HEARD_AT + 700, is_confirmed=False)
-    assert not past().suspects([late])
+    assert not incarnation().suspects([late])
 
 
 def test_a_repeated_start_without_an_answer_has_crashed_nothing():
     """Guards against a lost start counting as the cause of a later crash."""
     repeated = attempt(HEARD_AT, is_confirmed=False, tries=2)
-    assert not past().suspects([repeated])
+    assert not incarnation().suspects([repeated])
 
 
 def test_an_attempt_that_a_new_agent_has_found_has_crashed_nothing():
     """Guards against blaming a task that may have been running for long."""
-    assert not past().suspects([attempt(HEARD_AT, tries=0)])
+    assert not incarnation().suspects([attempt(HEARD_AT, tries=0)])
