--- a/hyssopring/jobs/announced_state.py
+++ b/hyssopring/jobs/announced_state.py
@@ -35,18 +35,18 @@
     def from_announcement(
         cls,
         clock: Clock,
-        announced: Announcement,
+        announcement: Announcement,
         announced_at: float,
     ) -> 'AnnouncedState':
-        """Begin with the first announcement of an incarnation."""
+        """Begin with the announcement received at ``announced_at``."""
         state = cls(clock)
-        state.update(announced)
+        state.update(announcement)
         state._announced_at = announced_at
         return state
 
     @property
     def capacity(self) -> Size:
-        """Total resources of the worker; none if announced too long ago."""
+        """Total resources of the worker; 0 if announced too long ago."""
         age_ms = self._clock.now() - self._announced_at
         return self._capacity if age_ms <= CAPACITY_TTL_MS else Size()
 
@@ -60,19 +60,19 @@
         """How long a leaving worker will run at least."""
         return max(0, int(self._leaves_at - self._clock.now()))
 
-    def update(self, announced: Announcement) -> bool:
+    def update(self, announcement: Announcement) -> bool:
         """Apply an announcement; return whether the resources changed."""
-        if announced.sequence < self._sequence:
+        if announcement.sequence < self._sequence:
             return False
-        self._boot = announced.boot
-        self._sequence = announced.sequence
-        self.service = announced.service
-        self.labels = announced.labels
+        self._boot = announcement.boot
+        self._sequence = announcement.sequence
+        self.service = announcement.service
+        self.labels = announcement.labels
         self._announced_at = self._clock.now()
-        has_changed = announced.room != self._capacity
-        self._capacity = announced.room
-        if announced.is_leaving:
-            self._leave(announced.remaining_ms)
+        has_changed = announcement.room != self._capacity
+        self._capacity = announcement.room
+        if announcement.is_leaving:
+            self._leave(announcement.remaining_ms)
         return has_changed
 
     def withdraw(self) -> None:
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -126,7 +126,11 @@
 
 @dataclass
 class AttemptTable:
-    """The attempts by task, and which attempts may never start again."""
+    """The attempts on a worker, and which attempts may never start there.
+
+    Attributes:
+        by_task: The attempts that use resources of the worker.
+    """
 
     by_task: dict[str, Attempt] = field(default_factory=dict)
     _closed_attempt_by_task: dict[str, int] = field(default_factory=dict)
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -131,18 +131,20 @@
         """Milliseconds since a worker answered this agent."""
         return int(self._clock.now() - self._answered_at)
 
-    def announce(self, announced: Announcement) -> None:
+    def announce(self, announcement: Announcement) -> None:
         """Handle a worker's announcement of its state."""
-        if announced.boot in self._past_boots:
+        if announcement.boot in self._past_boots:
             return
-        if announced.boot == self.boot:
-            if self.announced.update(announced):
+        if announcement.boot == self.boot:
+            if self.announced.update(announcement):
                 self.on_capacity_changed()
             return
         # A delayed announcement may be of an incarnation that has ended, so a
         # new one counts only when it has answered a poll.
-        is_new = not self._candidate or announced.boot != self._candidate.boot
-        self._candidate = announced
+        is_new = (
+            not self._candidate or announcement.boot != self._candidate.boot
+        )
+        self._candidate = announcement
         self._candidate_at = self._clock.now()
         if is_new:
             # Until its first poll, the new incarnation accepts requests that
@@ -190,7 +192,7 @@
 
     def check(self) -> None:
         """Detect a silent worker whose hold expired; call periodically."""
-        # After this process was stalled an answer may lie unread.
+        # After a stall of this process, answers may be unread.
         is_timely = self._stall_detector.record_tick()
         if not self.boot or self._is_hold_expired or not is_timely:
             return
@@ -206,9 +208,9 @@
             self.on_hold_expired()
 
     def _poll_current(self) -> None:
-        """Poll the current incarnation, without side effects if it is silent.
+        """Poll the current incarnation, acknowledge ends and extend the hold.
 
-        After an unanswered poll another incarnation may be running. It must
+        After an unanswered poll another incarnation may be running, which must
         receive neither acknowledgements nor a hold by this one's clock.
         """
         if not self.is_answering:
@@ -233,7 +235,10 @@
             self.fences.advance()
 
     def _send_probe(self, boot: str) -> None:
-        """Poll only to invalidate requests sent to earlier incarnations."""
+        """Poll with a higher fence, without acknowledgement and hold.
+
+        The fence invalidates requests that were sent to earlier incarnations.
+        """
         self.fences.advance()
         timeout_ms = self._backoff.timeout_ms
         self._send(
@@ -345,9 +350,9 @@
                 self._clock.now() + self._max_stray_hold_ms
             )
         else:
-            # A former agent may have extended the hold until now. Without it,
-            # one late answer would report running tasks as ended, and they
-            # would start a second time.
+            # A former agent may have extended the hold until now. If that was
+            # ignored, a late answer would be enough to report running tasks as
+            # ended and start them a second time.
             self._inherited_hold_until = self._clock.now() + HOLD_MS
         self.announced = AnnouncedState.from_announcement(
             self._clock,
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -29,7 +29,7 @@
     """An attempt whose start was sent to an agent and that may be running.
 
     Attributes:
-        boot: The incarnation of the worker that it was sent to.
+        boot: The worker's incarnation that it was sent to or that runs it.
         start_index: The position of its start order on the agent's
             connection; 0 if it was sent on an earlier connection.
         placed_at: When it was placed.
@@ -82,7 +82,7 @@
 
     @property
     def cpu_at_full_pace(self) -> float:
-        """Thousandths of a core that a best-effort task uses at full pace."""
+        """Thousandths of a core that a best-effort task needs at full pace."""
         requested_millis = self.step.size.cpu_millis
         if self.has_measured_usage and self.pace >= _SLOW_PACE:
             return min(
@@ -125,7 +125,7 @@
         granted_at: When its agent last got a grant from this owner, or the
             latest time at which a former owner may have sent one.
         connection: This entry's ID of the agent's connection.
-        orders: The number of start orders sent on that connection.
+        starts_sent: The number of start orders sent on that connection.
         disconnected_at: When its last connection was closed.
         refused_at: When it last refused a start, None if never.
     """
@@ -253,5 +253,5 @@
         report = self.report
         if not self.is_connected or report is None or self.placed_by_task:
             return False
-        hold_expiry_ms = HOLD_EXPIRY_MS + _SILENT_MS
-        return not report.attempts and report.silent_ms >= hold_expiry_ms
+        idle_after_ms = HOLD_EXPIRY_MS + _SILENT_MS
+        return not report.attempts and report.silent_ms >= idle_after_ms
--- a/standins/jobs/advice.py
+++ b/standins/jobs/advice.py
@@ -1,8 +1,8 @@
-"""The platform's service for recommendations in virtual time.
+"""A simulated platform advice service in virtual time.
 
-It takes one question at a time of each calling machine, and turns away those
-beyond 32 that wait. Its answer for a step and a life of a worker stays the
-same, but for the tickets, which are new each time.
+It handles one query at a time per calling machine and rejects queries when 32
+are pending. Its decision for a step and an incarnation of a worker does not
+change, but each answer contains new tickets.
 """
 
 import itertools
@@ -20,16 +20,16 @@
 
 
 class SimAdvice:
-    """The service, with its faults.
+    """The service, with fault injection.
 
     Attributes:
-        allows: Whether a worker, by its name, may run a step.
-        refuses: A status that it answers all questions with, 0 for none.
-        is_silent: It takes questions and answers none.
-        late_s: How much later than it should it answers.
-        names_former: It also approves each worker's life before this one.
-        voids: Tickets are void as soon as they are given.
-        questions: All questions that were taken, as (time, asker, question).
+        allows: Returns whether the worker of a name may run a step.
+        refuses: A status with which it rejects all queries, 0 for none.
+        is_silent: It accepts queries but does not answer them.
+        late_s: Additional delay of its answers.
+        names_former: It also approves the former incarnation of each worker.
+        voids: Tickets are expired when they are issued.
+        questions: All accepted queries, as (time, asker, query).
     """
 
     def __init__(self, reactor, decision_ms=50, per_worker_ms=5, valid_ms=3000):
@@ -53,7 +53,7 @@
         self._tickets = {}
 
     def accepts(self, task, boot, ticket):
-        """Whether a worker starts a task with this ticket."""
+        """Return whether a worker may start a task with this ticket."""
         step = task.rpartition('.')[0]
         until = self._tickets.get((step, boot, ticket), 0)
         if self.reactor.seconds() < until:
@@ -64,7 +64,7 @@
         return False
 
     def take(self, asker, question, answer):
-        """A question arrives."""
+        """Accept or reject a query."""
         now = self.reactor.seconds()
         if self.refuses or len(self._waiting[asker]) >= MAX_WAITING:
             self.refused.append((now, asker, question))
@@ -115,7 +115,7 @@
 
 
 class AdviceLink:
-    """One machine's calls; a dead or frozen process hears nothing."""
+    """One machine's queries; a dead or frozen process gets no answer."""
 
     def __init__(self, service, asker, process_reactor):
         self.service = service
--- a/standins/jobs/book.py
+++ b/standins/jobs/book.py
@@ -1,11 +1,11 @@
-"""What the workers of a deployment have run, and the promises about it."""
+"""Records all runs of tasks in a deployment and checks invariants."""
 
 from dataclasses import dataclass
 
 from hyssopring.jobs.model import AttemptEnd
 
-# The budget of a task that crashes workers: so many crashes, then fewer than
-# so many starts more.
+# The crash budget of a task: after this many crashes it must be started fewer
+# than this many times again.
 MOST_KILLS = 3
 
 
@@ -21,13 +21,13 @@
 
 
 class Book:
-    """What all workers of a deployment have run; asserts the promises."""
+    """Records the runs of all workers; violations are added to ``broken``."""
 
     def __init__(self):
         self.running = {}
         self.noted_done = set()
         self.noted_failed = {}
-        # Failures of a task that its job permits, by job.
+        # The number of failures that a job permits each task.
         self.most_failures = {}
         self.starts = []
         self.ends = []
@@ -35,9 +35,9 @@
         self.last_run_by_task = {}
         self.sizes = {}
         self.keepers = set()
-        # Jobs whose tasks start with a ticket only.
+        # Jobs whose tasks need a ticket to start.
         self.advised = set()
-        # Times of crashes by the tasks that caused them.
+        # Times of crashes by the task that caused them.
         self.kills = {}
         self.broken = []
 
@@ -78,7 +78,7 @@
         self.last_run_by_task[run.task] = (now, worker.name)
 
     def noted(self, task, number, how):
-        """An end is acknowledged."""
+        """Record that an end was acknowledged."""
         if how is AttemptEnd.DONE:
             self.noted_done.add(task)
         elif how is AttemptEnd.FAILED:
@@ -86,7 +86,7 @@
             self._check_failures(task)
 
     def _check_failures(self, task):
-        """No start follows the last permitted failure, once that is noted."""
+        """Check that no start follows the last permitted failure."""
         noted = self.noted_failed.get(task, ())
         ended = sorted(
             at
--- a/standins/jobs/calm.py
+++ b/standins/jobs/calm.py
@@ -1,18 +1,18 @@
-"""Since when nothing disturbs a deployment.
+"""Tracks how long a deployment has been free of scheduled faults.
 
-A keeper may be away while something is wrong, and for a while after. To say
-that one was lost needs the time since when all was well.
+A keeper may be down during a fault and shortly after it, so a check for lost
+keepers needs the time of the last fault.
 """
 
 
 class Calm:
-    """Counts what is wrong with a deployment.
+    """Tracks the faults of a deployment.
 
     Attributes:
-        pending: How many faults have a part that is still to come: the
-            return of a process, the next machine of a roll.
-        since: When something was last wrong; it lies ahead while an order
-            that was lost is still to be carried out late.
+        pending: The number of scheduled steps of faults that are to come, such
+            as the return of a process or the next VM of a rolling replacement.
+        since: Time of the last fault; in the future while a delayed request is
+            pending.
     """
 
     def __init__(self, deployment):
@@ -21,12 +21,12 @@
         self.since = 0
 
     def touch(self, ahead_s=0):
-        """Something is wrong now, or until so many seconds from now."""
+        """Record a fault that lasts for ``ahead_s`` seconds from now."""
         now = self._deployment.reactor.seconds()
         self.since = max(self.since, now + ahead_s)
 
     def look(self):
-        """Note what is wrong now; call several times a second."""
+        """Check for faults; call several times a second."""
         if self.pending:
             self.touch()
         for process in self._processes():
@@ -37,7 +37,7 @@
                 self.touch(each.late_s)
 
     def lasted_s(self):
-        """For how long nothing has been wrong."""
+        """Return the seconds since the last fault."""
         return self._deployment.reactor.seconds() - self.since
 
     def _processes(self):
--- a/standins/jobs/colocated.py
+++ b/standins/jobs/colocated.py
@@ -1,4 +1,4 @@
-"""Workers made by hand, with keepers and fillers, for tests of decisions."""
+"""Builds workers with keepers and best-effort tasks for unit tests."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 def worker_with(name, *steps, load=0, pace=100):
-    """A worker of 16 cores on which one task of each step runs."""
+    """Return a worker of 16 cores that runs one task of each step."""
     report = WorkerReport(
         1,
         f'boot-{name}',
--- a/standins/jobs/crashing_days.py
+++ b/standins/jobs/crashing_days.py
@@ -1,4 +1,4 @@
-"""Seeded random days on which some tasks crash the workers that start them."""
+"""Random fault schedules with tasks that crash the workers they start on."""
 
 from hyssopring.jobs.model import JobState
 from standins.jobs.faults import RandomDay
@@ -8,7 +8,7 @@
 
 
 class CrashingDay(RandomDay):
-    """A random day's faults, and jobs with a task that crashes its worker.
+    """A random fault schedule, and jobs with a task that crashes its worker.
 
     Attributes:
         crashing: The tasks that crash their workers.
@@ -32,7 +32,7 @@
             self.crashing.add(str(self.random.choice(list(tasks))))
 
     def _crash_worker(self):
-        """Some workers at once, as often as one alone."""
+        """Crash one to three workers at once; one in half of the cases."""
         count = self.random.choice([1, 1, 2, 3])
         for worker in self.random.sample(self.deployment.workers, count):
             worker.go_down(self.random.uniform(1, 4))
--- a/standins/jobs/deployment.py
+++ b/standins/jobs/deployment.py
@@ -1,4 +1,4 @@
-"""Entries, agents, workers and the store, run under one virtual clock."""
+"""Simulated entries, agents, workers and store under one virtual clock."""
 
 import itertools
 
@@ -15,16 +15,16 @@
 
 LINK_S = 0.001
 STEP_S = 0.01
-# How long an agent that is stopped may take.
+# How long an agent's shutdown may take.
 GRACE_S = 5.2
 WALL_MS = 1_700_000_000_000
 
 
 class Deployment:
-    """Three entries and some workers, with the faults of a day.
+    """Entries and workers with their agents, and methods to inject faults.
 
     Attributes:
-        step_s: By how much the clock advances at once.
+        step_s: The step by which the clock advances.
     """
 
     step_s = STEP_S
@@ -45,9 +45,9 @@
         self.advice = SimAdvice(self.reactor)
         self.links = {}
         self.link_s = _even_link
-        # A frozen process reads a closed connection's messages before it
-        # opens the next one, or never. The random days' seeds were drawn
-        # without this: there it may read them after.
+        # If set, a frozen process never reads messages of a closed connection
+        # after it opened the next one. The seeds of the random schedules were
+        # drawn without this.
         self.drops_old = False
         self.cut = set()
         self.blocked = set()
@@ -73,7 +73,7 @@
         return worker
 
     def add_vm(self, name):
-        """A VM that was not there before: a worker and its agent."""
+        """Add a VM with a worker and its agent."""
         worker = self._worker(f'worker-{name}')
         self.workers.append(worker)
         self.start_agent(f'agent-{name}', worker)
@@ -100,7 +100,7 @@
         return one in self.cut or other in self.cut
 
     def cut_off(self, name):
-        """No message reaches or leaves this process; it runs on."""
+        """Drop all messages to and from a process, which keeps running."""
         self.cut.add(name)
         self._unlink(name)
 
@@ -114,12 +114,12 @@
         agent.core.connected(entry.name)
 
     def block(self, agent_name, entry_name):
-        """One agent and one entry have no connection any more."""
+        """Close the connection of an agent and an entry and prevent others."""
         self.blocked.add((agent_name, entry_name))
         self._unlink_pair((agent_name, entry_name))
 
     def stop_agent(self, name):
-        """End an agent as planned: it may still say something."""
+        """Shut an agent down gracefully, with time for its last messages."""
         agent = self.agents[name]
         agent.core.stop()
         self._end_agent(agent, self.reactor.seconds() + GRACE_S)
@@ -149,7 +149,7 @@
             entry.core.agent_disconnected(agent.name)
 
     def carry(self, sender, name, message):
-        """Write a message on a link; what is under way is lost with it."""
+        """Send a message; messages in flight are lost with their connection."""
         receiver = self.entries.get(name) or self.agents.get(name)
         if (
             receiver is None
@@ -198,7 +198,7 @@
             assert not self.book.broken, self.book.broken
 
     def submit(self, job, entry='entry-0'):
-        """Hand a job in; the outcomes are appended to the list returned."""
+        """Submit a job; the returned list receives the outcome."""
         outcomes = []
         self.book.most_failures[job.job_id] = job.queue.max_attempts
         for step in job.steps:
@@ -233,12 +233,12 @@
 
 
 def _even_link(_now, _sender, _receiver):
-    """How long a message takes where nothing slows links down."""
+    """Return the delay of a message where nothing slows connections down."""
     return LINK_S
 
 
 def a_job(number=1, steps=((4, ()),), attempts=3, **changes):
-    """A job of equal steps, each given as (tasks, steps before it)."""
+    """Return a job of equal steps, each given as (tasks, previous steps)."""
     size = Size(1000, 1000, 0)
     made = tuple(
         Step(count, size, 1000, after, **changes) for count, after in steps
@@ -252,7 +252,7 @@
 
 
 def settled(deployment=None, **options):
-    """A deployment whose first shard has an owner that knows all agents."""
+    """Return a deployment whose first shard has an owner."""
     deployment = deployment or Deployment(**options)
     deployment.run(3)
     assert deployment.owner
--- a/standins/jobs/faults.py
+++ b/standins/jobs/faults.py
@@ -1,4 +1,4 @@
-"""Seeded random days on the virtual deployment."""
+"""Seeded random fault schedules for the virtual deployment."""
 
 import random
 
@@ -17,9 +17,9 @@
 
 
 class RandomDay:
-    """Jobs and faults drawn from one seed; the book asserts all the while.
+    """Jobs and faults drawn from a seed; the record of runs checks invariants.
 
-    With jobs that last beside the others a day takes another course.
+    With ``has_keepers`` a seed gives another course of events.
     """
 
     def __init__(self, seed, workers=4, keeps_ids=False, has_keepers=True):
@@ -42,7 +42,7 @@
             worker.fails = self._fails
 
     def play(self):
-        """Run the day and a quiet end; return what was left undone."""
+        """Run the schedule and a quiet period; return lines of violations."""
         deployment = self.deployment
         deployment.run(3)
         next_job, next_fault = 0, 1
@@ -71,7 +71,7 @@
         self.watch.look(self._live_keepers())
 
     def _live_keepers(self):
-        """Jobs of tasks that last, which are owed."""
+        """Return the accepted jobs of keepers."""
         return self.keepers.accepted
 
     def _work_ms(self, task):
@@ -120,7 +120,7 @@
         fault()
 
     def _kinds(self):
-        """The faults that a day draws from; their order is part of a seed."""
+        """Return the faults to draw from; seeds depend on their order."""
         return [
             self._kill_entry,
             self._freeze_entry,
--- a/standins/jobs/interference.py
+++ b/standins/jobs/interference.py
@@ -1,9 +1,10 @@
-"""What tasks on one worker do to each other, drawn by a seed.
+"""A simulated model of interference between colocated tasks, by a seed.
 
-The tail latency of a keeper grows like the wait in a queue: the base latency
-over what is left of its capacity. Its own load takes of that, in waves, and so
-does each core that a filler uses beside it, by an amount for each pair of
-images. Most pairs hardly matter and a few matter a lot; all of them drift.
+The tail latency of a keeper grows as in a queue: it is the base latency
+divided by the remaining share of its capacity. Its own load takes a periodic
+share of the capacity, and so does each core that a best-effort task uses, by
+an amount for each pair of images. Most pairs hardly interfere and a few do a
+lot; all amounts vary over time.
 """
 
 import math
@@ -12,22 +13,22 @@
 
 KEEPER_IMAGES = 5
 FILLER_IMAGES = 9
-# Shares of a keeper's capacity that a core of a filler takes.
+# Shares of a keeper's capacity that a core of a best-effort task takes.
 HARMFUL_PART = 0.65
 HARMLESS = 0.003
 MEAN_HARM = 0.03
 MOST_HARM = 0.1
-# Of capacity that is left at the least: the tail stays finite.
+# Minimum remaining capacity, so that the tail latency stays finite.
 LEAST_LEFT = 0.02
 
 
 @dataclass(frozen=True)
 class Wave:
-    """A share of a keeper's capacity that rises and falls with time.
+    """A share of a keeper's capacity that varies as a sine of time.
 
     Attributes:
-        swing: By which part of the mean it does so.
-        phase: Where in its period it begins, from 0 to 1.
+        swing: Amplitude, as a part of the mean.
+        phase: Phase at time 0, from 0 to 1.
     """
 
     mean: float
@@ -36,23 +37,24 @@
     phase: float
 
     def at(self, now_s):
-        """Return the share at a time."""
+        """Return the share at a time in seconds."""
         turn = math.tau * (now_s / self.period_s + self.phase)
         return self.mean * (1 + self.swing * math.sin(turn))
 
 
 class Interference:
-    """What keepers use themselves, and what fillers take of them.
+    """The load of keepers and the interference of best-effort tasks.
 
     Attributes:
-        base_ms: The tail latency of a keeper that has nothing to do.
-        noise: The deviation of a reported figure, as a part of it.
-        load_by_image: A keeper image's own load.
-        harm_by_images: What a core of a filler takes, by keeper and filler.
+        base_ms: The tail latency of an idle keeper.
+        noise: Standard deviation of a reported tail latency, as a part of it.
+        load_by_image: Share of its capacity that a keeper uses, by image.
+        harm_by_images: Share of a keeper's capacity that a core of a
+            best-effort task takes, by the images of both.
     """
 
     def __init__(self, seed, is_synchronous=True):
-        """Draw; ``is_synchronous`` lets all loads swing nearly together."""
+        """Draw the model; ``is_synchronous`` gives all loads similar phases."""
         draw = random.Random(f'interference {seed}')
         self.keeper_images = [f'keeper-{n}' for n in range(KEEPER_IMAGES)]
         self.filler_images = [f'filler-{n}' for n in range(FILLER_IMAGES)]
@@ -77,7 +79,7 @@
         }
 
     def tail_ms(self, keeper, cores_by_filler, now_s):
-        """Return a keeper's tail latency beside fillers that use cores."""
+        """Return a keeper's tail latency beside best-effort tasks."""
         taken = self.load_by_image[keeper].at(now_s)
         for filler, cores in cores_by_filler.items():
             taken += cores * self.harm_by_images[keeper, filler].at(now_s)
--- a/standins/jobs/keeper_jobs.py
+++ b/standins/jobs/keeper_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that last, beside the jobs of a random day."""
+"""Keeper jobs, beside the batch jobs of a random fault schedule."""
 
 import random
 
@@ -8,15 +8,15 @@
 FIRST_S = 4
 LAST_S = 25
 FIRST_NUMBER = 0xF0000
-# So small that a worker has room for them beside as many tasks as it takes.
+# So small that they fit on a worker that is otherwise full.
 SIZE = Size(250, 500, 0)
 
 
 class KeeperJobs:
-    """Jobs of tasks that last, drawn apart from all else of a seed.
+    """Keeper jobs, drawn from a random generator of their own.
 
     Attributes:
-        jobs: All that were handed in.
+        jobs: All submitted jobs.
     """
 
     def __init__(self, seed, deployment, has_keepers=True):
@@ -31,7 +31,7 @@
 
     @property
     def accepted(self):
-        """The jobs that are owed."""
+        """The accepted jobs."""
         return [
             job
             for job in self.jobs
@@ -39,11 +39,11 @@
         ]
 
     def has(self, task):
-        """Whether a task is one of these."""
+        """Return whether a task belongs to these jobs."""
         return any(task.startswith(job.job_id) for job in self.jobs)
 
     def submit_due(self):
-        """Hand in what is due, if an entry is there to take it."""
+        """Submit jobs that are due, if an entry is available."""
         now = self._deployment.reactor.seconds()
         names = [
             name
--- a/standins/jobs/keeper_watch.py
+++ b/standins/jobs/keeper_watch.py
@@ -1,29 +1,29 @@
-"""Notices tasks that last and that nothing runs, by the rule's own bound."""
+"""Detects keepers that are not running, by the bounds of the specification."""
 
 from hyssopring.jobs.model import Size
 from standins.jobs.lost_vms import LostVms, is_away
 
-# A task that lasts is lost if nothing runs of it for the window, which begins
-# no sooner than this long after its last run and after its cause for calm.
+# A keeper is lost if it does not run for the whole window. The window begins
+# at least LAST_RUN_S after its last run and CALM_S after the last disruption.
 LAST_RUN_S = 6
 WINDOW_S = 3
 CALM_S = 4
-# There must be capacity for it so many times over.
+# Free resources must suffice for this many tasks of its size.
 ROOMS = 2
 
 
 class KeeperWatch:
-    """Looks at the tasks that last while a day goes on.
+    """Monitors keepers during a simulation.
 
     Attributes:
-        elsewhere: One line for each task that was lost, and whose last run was
-            on a VM that is not away.
-        on_lost: One line for each whose last run was on a VM that is away, and
-            which was not started once it surely ran there no more.
-        held: How long each task waited beyond the rule's bound for the VM of
-            its last run, though not yet beyond the bound of safety.
-        longest_s: The longest wait of a task in calm, with room for it, whose
-            last run was not on a VM that is away.
+        elsewhere: A line for each lost keeper whose last run was on a VM that
+            is up.
+        on_lost: A line for each keeper whose last run was on a lost VM and
+            that was not started when it could not be running there any more.
+        held: By keeper, how long it waited beyond the bound, in seconds,
+            while it could still be running on a lost VM.
+        longest_s: The longest wait without disruption and with enough
+            resources of a keeper whose last run was on a VM that is up.
         longest_on_lost_s: The longest of all others, from their VM's loss on.
     """
 
@@ -41,11 +41,11 @@
 
     @property
     def missed(self):
-        """All that broke a bound."""
+        """Lines of all violations of a bound."""
         return [*self.elsewhere.values(), *self.on_lost.values()]
 
     def look(self, jobs):
-        """Look at the jobs that should run; call several times a second."""
+        """Check jobs that should be running; call several times a second."""
         self._stillness.look()
         self._lost_vms.look()
         rooms = self._count_rooms()
@@ -96,14 +96,14 @@
             self.held[task] = waits_s
 
     def _last_run(self, task):
-        """When it ended, and on which VM."""
+        """Return when a task's last run ended, and on which VM."""
         never = (self._wanted_since[task], None)
         return self._deployment.book.last_run_by_task.get(task, never)
 
     def _count_rooms(self):
-        """How many tasks of a size the workers that take tasks have room for.
+        """Return a function that counts how many tasks of a size would fit.
 
-        More than the rule asks for are not counted on one worker.
+        No worker counts for more tasks than are required in total.
         """
         free = [self._free(worker) for worker in self._takers()]
         return lambda size: sum(_times(size, each) for each in free)
@@ -122,7 +122,7 @@
 
 
 def _times(size, free):
-    """How many times over a size fits, up to the rule's count."""
+    """Return how many times a size fits, up to the required number."""
     count = 0
     while count < ROOMS and size.fits_in(free):
         free = free.minus(size)
--- a/standins/jobs/lasting_rule.py
+++ b/standins/jobs/lasting_rule.py
@@ -1,18 +1,19 @@
-"""Looks whether each task that lasts runs again as soon as it has to."""
+"""Checks that each keeper runs again within the specified time."""
 
-# Nothing has run of a task for this long after its last run, and for the last
-# part of it without any disruption: by then it has to run.
+# A keeper must run again AWAY_S after its last run if there has been no
+# disruption for the last CALM_S of that time.
 AWAY_S = 9
 CALM_S = 7
 LOOK_S = 0.05
 
 
 class LastingRule:
-    """Watches the lasting tasks of some jobs.
+    """Monitors the keepers of some jobs.
 
     Attributes:
-        lost: By task: for how long nothing ran of it beyond the rule.
-        longest_s: The longest that nothing ran of any task, calm or not.
+        lost: By task that violated the rule, how long it did not run.
+        longest_s: The longest time that any task did not run, with or without
+            disruptions.
     """
 
     def __init__(self, deployment, jobs):
@@ -30,12 +31,12 @@
         self.longest_s = 0
 
     def disturb(self, ahead_s=0):
-        """Something is disrupted now, or until so many seconds from now."""
+        """Record a disruption that lasts for ``ahead_s`` seconds from now."""
         now = self._deployment.reactor.seconds()
         self._disturbed_at = max(self._disturbed_at, now + ahead_s)
 
     def run(self, seconds):
-        """Let time pass, and look all the while."""
+        """Advance the time and check the tasks."""
         for _each in range(round(seconds / LOOK_S)):
             self._deployment.run(LOOK_S)
             self._look()
--- a/standins/jobs/lost_vms.py
+++ b/standins/jobs/lost_vms.py
@@ -1,26 +1,26 @@
-"""VMs that are away, and when nothing can run there any more."""
+"""Lost VMs, and when nothing can be running there any more."""
 
-# All that was granted on a VM is over this long after a former owner has said
-# or shown that it orders no more; or, where it stays silent, this long after
-# the next one has begun.
+# All grants of a VM have expired GRANT_OVER_S after its former owner released
+# the shard or was known to be dead, or, if the owner stays silent,
+# SILENT_OVER_S after the next owner began.
 GRANT_OVER_S = 8.4
 SILENT_OVER_S = 18.4
-# An owner that is there for this long has noticed that a VM is away, and has
-# made it known to the next one.
+# After this time an owner has noticed that a VM is lost and has recorded it
+# for its successor.
 NOTICED_S = 2
 
 
 def is_away(agent):
-    """Whether a VM is not to be reached: its agent or its worker."""
+    """Return whether a VM's agent or worker is unreachable."""
     worker = agent.worker
     return not agent.is_alive or worker.is_down or worker.is_dark
 
 
 class LostVms:
-    """Since when VMs are away, and since when an owner knows it.
+    """Tracks since when VMs are lost, and since when an owner knows it.
 
     Attributes:
-        lost_at: By the name of the worker, when each of them was lost.
+        lost_at: When each VM was lost, by the name of its worker.
     """
 
     def __init__(self, deployment, stillness):
@@ -32,7 +32,7 @@
         self.lost_at = {}
 
     def look(self):
-        """Note who is away; call several times a second."""
+        """Check which VMs are lost; call several times a second."""
         now = self._deployment.reactor.seconds()
         reign = self._find_reign()
         if reign is not self._reign:
@@ -49,10 +49,10 @@
                 self._noticed_at.setdefault(name, noticed_at)
 
     def safe_at(self, name):
-        """From when on nothing can run on a VM: by no later takeover's count.
+        """Return the time from which nothing can be running on a lost VM.
 
-        Where all owners ended with the VM nobody can count sooner than from
-        the first reign after it.
+        Later takeovers do not extend it. If all owners ended with the VM, it
+        counts from the beginning of the next owner.
         """
         noticed_at = self._noticed_at.get(name)
         if noticed_at is None:
@@ -61,7 +61,7 @@
         return min(over_at, noticed_at + SILENT_OVER_S)
 
     def _find_reign(self):
-        """What the newest owner that lives has of the shard, or None."""
+        """Return the shard of the newest live owner, None for no owner."""
         found = [
             owned
             for entry in self._deployment.entries.values()
--- a/standins/jobs/moving_days.py
+++ b/standins/jobs/moving_days.py
@@ -1,4 +1,4 @@
-"""Seeded days on which lasting tasks move a lot while owners come and go."""
+"""Fault schedules in which keepers move often while owners change."""
 
 import random
 
@@ -16,9 +16,9 @@
 
 
 class MovingDay:
-    """Faults of single links, owners and the store, beside lasting tasks.
+    """Faults of single connections, owners and the store, beside keepers.
 
-    The workers' book asserts all the while that no task runs twice.
+    The record of runs checks that no task runs twice at a time.
     """
 
     def __init__(self, seed, has_old=False, keeps_ids=False):
@@ -283,7 +283,7 @@
 
 
 def make_old(entry):
-    """Let an entry keep to no agent's row, like the release before."""
+    """Make an entry ignore the rows of agents, like the previous release."""
     store = entry.core._store
     commit = store.commit
 
--- a/standins/jobs/outage_days.py
+++ b/standins/jobs/outage_days.py
@@ -1,34 +1,34 @@
-"""Seeded days on which VMs stay away while one owner follows the other."""
+"""Fault schedules with lost VMs and repeated takeovers."""
 
 from standins.jobs.rolling_days import RollingDay
 
 ROUNDS = 2
 LEAST_VMS = 3
 FIRST_KEEPERS = 3
-# Long enough for the rule's bound after the longest wait for a VM that is safe.
+# Long enough for the specified bound after the longest safe wait for a VM.
 CALM_S = 30
-# Without new jobs, so that twice this is enough for all others to end.
+# Without new jobs; twice this time suffices for all batch jobs to end.
 QUIET_S = 10
 FOR_GOOD_S = 1e9
 
 
 class OutageDay(RollingDay):
-    """Losses of all power; afterwards some VMs do not come back in time.
+    """Power failures, after which some VMs do not return in time.
 
-    All entries, agents and workers end at once. Some VMs stay away for long or
-    for good, an entry may come back under another name, and the next owners
-    are killed, too. Then nothing is done for a while, but that VMs return.
+    All entries, agents and workers end at once. Some VMs return late or never,
+    an entry may restart under another name, and the next owners are killed as
+    well. No fault is injected after that for a while, but VMs may return.
     """
 
     job_each_s = 1.2
-    # At least and at most, after each loss.
+    # Minimum and maximum number of owners lost after each power failure.
     owners_lost = (0, 3)
 
     def __init__(self, seed, workers=5):
         super().__init__(seed, workers, keeps_ids=bool(seed % 2))
 
     def play(self):
-        """Run the day; return what went wrong."""
+        """Run the schedule; return lines of violations."""
         self.deployment.run(3)
         self._pass(self.random.uniform(6, 9))
         for _round in range(ROUNDS):
@@ -50,7 +50,7 @@
         return super()._draw_job()
 
     def _lose(self):
-        """All lose power; some VMs stay away."""
+        """Power off everything; some VMs do not return."""
         owner = self._owner()
         staying_away = self._draw_vms(self.random.choice([0, 1, 1, 2]))
         for name, entry in list(self.deployment.entries.items()):
@@ -74,7 +74,7 @@
         return self.random.sample(vms, min(count, most))
 
     def _lose_vm(self, name):
-        """A VM is away for long, or for good and maybe for a new one."""
+        """Lose a VM for long, or permanently and perhaps with a replacement."""
         if self.random.random() < 0.5:
             away_s = self.random.uniform(5, 30)
         else:
@@ -86,11 +86,11 @@
         self._end_vm(name, *self._parts_away_s(name, away_s))
 
     def _parts_away_s(self, _name, away_s):
-        """For how long the worker of a lost VM is away, and the agent."""
+        """Return the downtimes of the worker and the agent of a lost VM."""
         return away_s, away_s
 
     def _end_vm(self, name, worker_s, agent_s):
-        """Power is lost; the worker and the agent start in either order."""
+        """Power off a VM; worker and agent restart in either order."""
         agent = self.deployment.agents[name]
         agent.worker.go_down(worker_s)
         if agent.is_alive:
@@ -98,7 +98,7 @@
             self._later(agent_s - 0.5, agent_s + 1, self._agent_back, name)
 
     def _restart_entry(self, name, may_be_replaced=True):
-        """A killed entry comes back, or another one in its place."""
+        """Kill an entry; it restarts, or another one does in its place."""
         self.deployment.kill_entry(name)
         new_name = name
         if may_be_replaced and self.random.random() < 0.4:
@@ -112,7 +112,7 @@
             self.deployment.start_entry(name)
 
     def _lose_owners(self):
-        """Owners end one after the other, and a few tasks fail meanwhile."""
+        """Lose owners one after the other, while a few tasks fail."""
         for _each in range(self.random.randint(*self.owners_lost)):
             if self.random.random() < 0.5:
                 self._later(0, 2, self._fail_runs)
@@ -146,7 +146,7 @@
 
 
 class HalfVmDay(OutageDay):
-    """Losses of all power; afterwards an agent or a worker stays away alone."""
+    """Power failures, after which only an agent or only a worker stays down."""
 
     def _parts_away_s(self, name, away_s):
         short_s = self.random.uniform(1, 4)
@@ -156,7 +156,7 @@
 
 
 class TakeoverDay(OutageDay):
-    """One VM is lost, and then one owner after the other."""
+    """The loss of a VM, and then of one owner after the other."""
 
     owners_lost = (1, 4)
 
@@ -166,11 +166,11 @@
 
 
 class CutVmDay(OutageDay):
-    """VMs that are away and run on, while one owner follows the other.
+    """Unreachable VMs that keep running, with repeated takeovers.
 
-    They are cut off, from all entries or from one, or their agents are away
-    alone. An owner may be silent for a while, and wake. Each wait that ends
-    too early shows as a task that runs twice.
+    They are cut off from one or all entries, or only their agents are down. An
+    owner may freeze for a while and resume. A wait that ends too early shows
+    as a task that runs twice.
     """
 
     owners_lost = (1, 4)
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -26,7 +26,7 @@
 
 
 class ReactorClock:
-    """The product's clock on the virtual reactor."""
+    """A clock that reads the virtual reactor's time."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -36,7 +36,7 @@
 
 
 class Process:
-    """One process: dead or frozen ones get neither timers nor messages."""
+    """A process; while dead or frozen it gets neither timers nor messages."""
 
     def __init__(self, deployment, name):
         self.deployment = deployment
@@ -55,7 +55,7 @@
 
 
 class ProcessReactor:
-    """Drops what a dead process has waiting, and holds a frozen one's."""
+    """Drops the pending calls of a dead process and delays a frozen one's."""
 
     def __init__(self, reactor, process):
         self._reactor = reactor
@@ -79,7 +79,7 @@
 
 
 class Entry(Process):
-    """An entry's core and its timers."""
+    """An entry's core with its timers."""
 
     def __init__(self, deployment, name, incarnation):
         super().__init__(deployment, name)
@@ -135,7 +135,10 @@
 
 
 class WorkerLink:
-    """An agent's calls to its worker; a dead or frozen agent hears nothing."""
+    """An agent's requests to its worker.
+
+    Answers are dropped while the agent is dead and delayed while it is frozen.
+    """
 
     def __init__(self, worker, process_reactor):
         self.worker = worker
@@ -164,7 +167,7 @@
 
 
 def agent_port(worker):
-    """The port to a worker; one that keeps its id is behind the border."""
+    """Return the worker's port: the platform adapter if it keeps its ID."""
     if not worker.keeps_id:
         return worker
     port = PlatformWorker(None, '127.0.0.1:1')
@@ -173,7 +176,7 @@
 
 
 class Agent(Process):
-    """An agent's core and its timers; its worker lives on without it."""
+    """An agent's core with its timers; its worker runs on without it."""
 
     def __init__(self, deployment, name, worker):
         super().__init__(deployment, name)
--- a/standins/jobs/returning_days.py
+++ b/standins/jobs/returning_days.py
@@ -1,16 +1,16 @@
-"""Seeded random days on which workers start again under their ids."""
+"""Random fault schedules with workers that restart under the same ID."""
 
 from standins.jobs.faults import RandomDay
 
-# What the steady clocks of incarnations may begin with.
+# Initial readings of the incarnations' clocks.
 CLOCKS_MS = (1000, 60_000, 500_000)
 
 
 class ReturningDay(RandomDay):
-    """A random day's faults on workers that keep their ids.
+    """A random fault schedule with workers that keep their IDs.
 
     Attributes:
-        restarts: How many workers' starts were drawn.
+        restarts: The number of worker restarts that were drawn.
     """
 
     def __init__(self, seed, workers=4, has_keepers=True):
@@ -20,7 +20,7 @@
             worker.clocks_ms = iter(lambda: self.random.choice(CLOCKS_MS), None)
 
     def _kinds(self):
-        """Restarts in series and calls that are carried out late."""
+        """Add series of restarts, and requests that are carried out late."""
         return [
             *super()._kinds(),
             self._restart_worker,
--- a/standins/jobs/rolling_days.py
+++ b/standins/jobs/rolling_days.py
@@ -1,4 +1,4 @@
-"""Seeded days of rolling replacements, with keepers beside batch jobs."""
+"""Fault schedules with rolling replacements, keepers and batch jobs."""
 
 from hyssopring.jobs.model import Job, JobState, Queue, Size, Step
 from standins.jobs.faults import (
@@ -18,11 +18,11 @@
 
 
 class RollingDay(RollingFaults):
-    """Storms of faults and calms in turn, while jobs keep coming.
+    """Alternating periods with and without faults, while jobs are submitted.
 
-    The book of the workers asserts all the while that nothing runs twice,
-    starts after its noted end, or takes a worker over its room. A calm is
-    long enough to see that each keeper with room runs again.
+    The record of runs checks that no task runs twice at a time, starts after
+    its acknowledged end or exceeds a worker's resources. A period without
+    faults is long enough for each keeper that fits to run again.
     """
 
     job_each_s = JOB_EACH_S
@@ -32,7 +32,7 @@
         self.cancels = {}
 
     def play(self):
-        """Run the day and a quiet end; return what went wrong."""
+        """Run the schedule and a quiet period; return lines of violations."""
         self.deployment.run(3)
         for _round in range(ROUNDS):
             self._pass(self.random.uniform(8, 16), FAULT_EACH_S / 2)
@@ -55,7 +55,7 @@
                 self._fault()
 
     def _pass_calm(self):
-        """Go on until nothing has been wrong for a while."""
+        """Run until there was no fault for a while."""
         end = self._now() + CALM_MAX_S
         while self._now() < end and self.calm.lasted_s() < CALM_S:
             self._pass(1)
@@ -69,7 +69,7 @@
         step = self.jobs[job_id].steps[int(step)]
         if step.is_keeper:
             return FOREVER_MS
-        # All members of a gang work equally long.
+        # All members of a gang run equally long.
         whose = task.rpartition('.')[0] if step.is_gang else task
         drawn = self.chances.choice([200, 800, 2500])
         return self.works.setdefault(whose, drawn)
@@ -113,7 +113,7 @@
         return [step for job in self._live_keepers() for step in job.steps]
 
     def _live_keepers(self):
-        """Jobs of keepers that are accepted and that nobody has cancelled."""
+        """Return the jobs of keepers that are accepted and not cancelled."""
         return [
             job
             for job_id, job in self.jobs.items()
@@ -129,7 +129,7 @@
         )
 
     def _cancel(self):
-        """Cancel a job, as often a keeper's as any."""
+        """Cancel a job: a keeper job in half of the cases, otherwise any."""
         keepers = [job.job_id for job in self._live_keepers()]
         job_ids = self.random.choice([keepers, list(self.jobs)])
         entries = self._usable_entries()
@@ -166,7 +166,7 @@
                 yield f'{task} still runs at the end'
 
     def _should_be_over(self, task, states):
-        """Whether a task's job is final, or none of its tasks is a keeper."""
+        """Return whether a task's job is final or not a keeper job."""
         job_id = task.split('.')[0]
         state = states.get(job_id)
         is_final = state is not None and state.is_final
@@ -186,7 +186,7 @@
             yield f'{job_id} was never cancelled'
 
     def _states(self):
-        """Ask the owner for the states of all accepted jobs."""
+        """Return the states of all accepted jobs, as the owner has them."""
         desk = self.deployment.entries[self._owner()].core.job_api
         found = {}
         for job_id in self.jobs:
--- a/standins/jobs/rolling_faults.py
+++ b/standins/jobs/rolling_faults.py
@@ -1,8 +1,8 @@
-"""Faults of days on which entries and machines are replaced in turn.
+"""Faults of schedules in which entries and VMs are replaced one by one.
 
-Random days (``faults.py``) draw faults that come and go one by one. Users saw
-tasks run twice, and keepers lost, where a planned replacement met slow links, a
-slow store or a slow worker: those are drawn here, beside all others.
+``faults.py`` draws independent faults. Planned replacements that coincided
+with slow connections, a slow store or a slow worker made tasks run twice and
+lost keepers, so those are drawn here as well.
 """
 
 import random
@@ -14,24 +14,24 @@
 from standins.jobs.slow_links import SlowLinks
 from standins.jobs.stillness import Stillness
 
-# A planned stop of an entry: it gives its shards up and goes on for a while.
+# How long an entry runs after a planned stop has released its shards.
 LINGER_S = 3
 LEAST_VMS = 3
 NEW_PART = 0.7
 
 
 class RollingFaults(RandomDay):
-    """A random day's faults, and those of rolling replacements.
+    """A random fault schedule with rolling replacements.
 
-    What the code under test causes (delays of its messages and calls, ends of
-    what it starts) is drawn apart from the faults: a change of the code leaves
-    the faults of a seed, and their times, much as they were.
+    Events that depend on the code under test (delays of its messages and
+    requests, ends of its runs) are drawn from another generator than faults,
+    so that the faults of a seed and their times hardly change with the code.
 
     Attributes:
-        chances: Draws what depends on what the code does.
-        leaving: Agents of VMs that are, or are being, taken away for good.
-        gone: Those of them that never come back.
-        stopping: Entries in a planned stop; they take no jobs.
+        chances: The generator of events that depend on the code under test.
+        leaving: Agents of VMs that are being or have been removed.
+        gone: Agents of VMs that have been removed.
+        stopping: Entries in a planned stop; they accept no jobs.
     """
 
     def __init__(self, seed, workers=5, keeps_ids=False):
@@ -90,7 +90,7 @@
         return self.deployment.reactor.seconds()
 
     def _usable_entries(self):
-        """Entries that a caller is answered by."""
+        """Return the names of the entries that answer callers."""
         return [
             name
             for name, entry in self.deployment.entries.items()
@@ -113,7 +113,7 @@
         return self.random.choice(list(self.deployment.entries))
 
     def _slow_links(self):
-        """Some agents, or an entry, are far away for a while."""
+        """Slow down the connections of some agents or entries for a while."""
         names = self._live_agents()
         if self.random.random() < 0.4 or not names:
             names = list(self.deployment.entries)
@@ -135,7 +135,7 @@
         self._later(2, 8, self._quick_store)
 
     def _pauses(self, low, high):
-        """A call is carried out somewhere within its time."""
+        """Return the delays before and after a call is carried out."""
         whole_s = self.chances.uniform(low, high)
         before_s = self.chances.uniform(0, whole_s)
         return before_s, whole_s - before_s
@@ -147,7 +147,7 @@
         self._plan_stop(self.random.choice(list(self.deployment.entries)))
 
     def _roll_entries(self):
-        """Planned stops of all entries, one after the other or overlapping."""
+        """Plan stops of all entries, one after the other or overlapping."""
         names = list(self.deployment.entries)
         self.random.shuffle(names)
         gap_s = self.random.choice([0.5, 2, 4.5, 6])
@@ -164,7 +164,7 @@
         self._later(LINGER_S, LINGER_S, self._end_entry, entry)
 
     def _end_entry(self, entry):
-        """A planned stop is over, unless the process was killed before."""
+        """End a planned stop, unless the process was killed before."""
         self.stopping.discard(entry)
         if entry.is_alive:
             self.deployment.kill_entry(entry.name)
@@ -177,7 +177,7 @@
                 self._later(1, 4, self._entry_back, name)
 
     def _takeover_over_slow_links(self):
-        """An owner goes while some agents are far away."""
+        """Lose an owner while the connections of some agents are slow."""
         self._slow_links()
         if self.random.random() < 0.5:
             self._slow_link(self.random.choice(list(self.deployment.entries)))
@@ -192,12 +192,12 @@
             self._later(1, 4, self._entry_back, name)
 
     def _roll_all(self):
-        """Entries and VMs are replaced at the same time."""
+        """Replace entries and VMs at the same time."""
         self._roll_entries()
         self._replace_vms()
 
     def _replace_vms(self):
-        """Several VMs in a row, each for a new one."""
+        """Replace several VMs one after the other."""
         gap_s = self.random.choice([0.5, 1.5, 3])
         for number in range(self.random.randint(2, 4)):
             at = number * gap_s
@@ -212,7 +212,7 @@
         self.deployment.add_vm(name).fails = self._fails
 
     def _take_vm(self):
-        """A worker says that it leaves; then its VM is gone for good."""
+        """Remove a VM after its worker has announced that it leaves."""
         staying = [
             name for name in self.deployment.agents if name not in self.leaving
         ]
@@ -242,7 +242,7 @@
             super()._agent_back(name)
 
     def _agent_beside_slow_worker(self):
-        """A new agent meets a worker that it hardly reaches."""
+        """Restart an agent while its worker is slow or unreachable."""
         names = self._live_agents()
         if not names:
             return
--- a/standins/jobs/rows.py
+++ b/standins/jobs/rows.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with its faults."""
+"""A simulated platform store in memory, with fault injection."""
 
 from twisted.internet.defer import Deferred
 
@@ -24,14 +24,15 @@
 
     Attributes:
         is_down: Every call is refused.
-        is_silent: No call is answered, and nothing is done.
+        is_silent: No call is carried out or answered.
         shunned: Clients whose calls are refused.
-        lose_next: So many commits are done and not answered.
-        late_s: Commits that are not answered are done this much later.
-        pauses: Returns by how much a call is done later than usual, and by
-            how much its answer comes later still.
-        tells_time: Whether answers have the store's clock.
-        slow_s: How much later the store answers, where it is served by HTTP.
+        lose_next: The number of next commits that are carried out but not
+            answered.
+        late_s: The delay before these are carried out.
+        pauses: Returns the additional delays before a call is carried out and
+            before it is answered.
+        tells_time: Whether answers contain a reading of the store's clock.
+        slow_s: Additional delay of answers where the store is served by HTTP.
     """
 
     def __init__(self, reactor):
@@ -52,7 +53,7 @@
 
     @property
     def now_ms(self):
-        """The store's steady clock, which is no other process's."""
+        """A reading of the store's monotonic clock."""
         if not self.tells_time:
             return None
         return self.reactor.seconds() * 1000 + CLOCK_AHEAD_MS
@@ -90,7 +91,7 @@
 
 
 class RowsClient:
-    """One process's calls."""
+    """One process's calls to the store."""
 
     def __init__(self, store, name, process_reactor):
         self.store = store
@@ -182,5 +183,5 @@
 
 
 def no_pauses():
-    """What a store that is not slow adds to each call."""
+    """Return the additional delays of a store that is not slow."""
     return 0, 0
--- a/standins/jobs/shared_worker.py
+++ b/standins/jobs/shared_worker.py
@@ -1,4 +1,4 @@
-"""A runner on which keepers and fillers share the processors."""
+"""A simulated runner whose keepers and best-effort tasks share processors."""
 
 import math
 import random
@@ -11,8 +11,8 @@
 from hyssopring.jobs.worker_port import Listing, StartOutcome, WorkerRow
 from standins.jobs.worker import CALL_S, SimWorker
 
-# The platform's times: figures are for half a second, a pace is in force
-# after a tenth, a keeper is at work half a second after its start.
+# Times of the platform: measurements cover 500 ms, a pace takes effect after
+# 100 ms, and a keeper serves requests 500 ms after its start.
 FIGURE_S = 0.5
 PACE_S = 0.1
 KEEPER_START_S = 0.5
@@ -22,16 +22,18 @@
 
 @dataclass
 class Shared:
-    """A run while it shares its worker.
+    """A run that shares its worker's processors.
 
     Attributes:
-        work: Core-seconds that it needs, without end for a keeper.
-        appetite: The share of what it asks for that it uses.
-        done: Core-seconds that it has had.
-        cores: What it uses now.
-        sum_of_figure: Core-seconds, or millisecond-seconds of tail, in the
-            figure that is being taken.
-        figure: The last whole figure.
+        work: Core-seconds that it needs, infinite for a keeper.
+        appetite: The share of its request that it uses.
+        done: Core-seconds that it has used.
+        cores: The cores that it uses now.
+        tail_ms: A keeper's tail latency now.
+        alone_ms: That tail latency without any best-effort task.
+        sum_of_figure: Sum of the current measurement: thousandths of a core
+            times seconds, or for a keeper with a target ms times seconds.
+        figure: The last complete measurement.
     """
 
     step: Step
@@ -53,7 +55,7 @@
 
 @dataclass
 class KeeperTimes:
-    """Seconds of keepers: at work, over target, over it through fillers."""
+    """Seconds of keepers: serving, over target, over it by interference."""
 
     at_work: float = 0
     over: float = 0
@@ -61,16 +63,16 @@
 
 
 class SharedWorker(SimWorker):
-    """Runs tasks at their pace, and tells of tails as the platform does.
+    """Runs tasks at their pace and reports tail latencies like the platform.
 
     Attributes:
-        interference: What the images do to each other.
-        site: Says what tasks are, and takes the keepers' times.
-        used_core_s: Core-seconds that fillers have used.
+        interference: The model of interference between images.
+        site: Describes the tasks and accumulates the keepers' times.
+        used_core_s: Core-seconds used by best-effort tasks.
     """
 
     def __init__(self, reactor, name, book, room, interference, site):
-        """Run tasks on ``room``, as ``site`` describes them."""
+        """Run the tasks that ``site`` describes on the resources ``room``."""
         self.interference = interference
         self.site = site
         self.used_core_s = 0
@@ -86,7 +88,7 @@
         self._shared = {}
 
     def poll(self, look):
-        """Answer when something has ended, or after the time asked for."""
+        """Answer a poll when a task has ended, or after its wait time."""
         if self.is_dark or self.slow_s or look.boot != self.boot:
             return super().poll(look)
         answer = Deferred()
@@ -95,7 +97,7 @@
         return answer
 
     def settle(self):
-        """Let the tasks work for the time that has gone by."""
+        """Advance the tasks by the time since the last call."""
         now = self.reactor.seconds()
         passed = now - self._settled_at
         self._settled_at = now
@@ -131,7 +133,7 @@
             self._feel(self._shared[task], use, now, passed)
 
     def _share_cores(self, now):
-        """Fillers get what the others leave, by what they ask for."""
+        """Divide the remaining cores among best-effort tasks by request."""
         left = self.room.cpu_millis / MILLIS
         asked = 0
         for shared in self._shared.values():
@@ -208,7 +210,7 @@
 
     @staticmethod
     def _checkpoint(shared):
-        """What is saved: the core-seconds done."""
+        """Return the checkpoint, which contains the core-seconds done."""
         return f'{shared.done:.3f}' if shared.step.saves else ''
 
     def _start(self, start):
--- a/standins/jobs/slow_links.py
+++ b/standins/jobs/slow_links.py
@@ -1,16 +1,15 @@
-"""Links on which messages take their time, and keep their order."""
+"""Simulated connections with delays that keep messages in order."""
 
 LINK_S = 0.001
-# Two messages of one connection are never read at the very same instant.
+# Minimum time between two messages of a connection.
 GAP_S = 1e-6
 
 
 class SlowLinks:
-    """How long each message of a deployment is under way.
+    """Draws the delay of each message; set as ``Deployment.link_s``.
 
-    Set as ``Deployment.link_s``. A process can be far away for what it sends,
-    for what it is sent, or for both; each message then draws its own delay,
-    and none overtakes an earlier one of the same connection.
+    A process can be slow to send, to receive or both. Each message then draws
+    its own delay, and none overtakes an earlier one of the same connection.
     """
 
     def __init__(self, random):
@@ -21,18 +20,18 @@
 
     @property
     def is_slow(self):
-        """Whether any process is far away now."""
+        """Whether any process's messages are delayed now."""
         return bool(self._sent or self._received)
 
     def slow(self, name, range_s, is_sent=True, is_received=True):
-        """Delay what a process sends, is sent, or both, by so many seconds."""
+        """Delay what a process sends, receives or both by ``range_s``."""
         if is_sent:
             self._sent[name] = range_s
         if is_received:
             self._received[name] = range_s
 
     def heal(self, name):
-        """What this process sends and is sent takes as long as ever."""
+        """Stop delaying the messages of a process."""
         self._sent.pop(name, None)
         self._received.pop(name, None)
 
--- a/standins/jobs/stillness.py
+++ b/standins/jobs/stillness.py
@@ -1,24 +1,25 @@
-"""Since when nothing was done to a deployment, by what can be seen of it.
+"""Detects how long a deployment has been free of disruptions.
 
-``Calm`` counts what a day still has in hand. Here a process that is away and
-stays away is no disruption: only that it goes, and that it comes back.
+It observes the deployment, whereas ``Calm`` counts the faults of a schedule
+that are still pending. A process that stays down is no disruption here, only
+its end and its restart are.
 """
 
 from standins.jobs.rows import no_pauses
 
 
 class Stillness:
-    """Looks for disruptions of a deployment.
+    """Detects disruptions of a deployment.
 
     Attributes:
-        since: When something was last wrong; it lies ahead while a process is
-            frozen, or an order is still to be carried out late.
-        silent_at: When a process of an entry was last away or frozen, so that
+        since: Time of the last disruption; in the future while a process is
+            frozen or a delayed request is pending.
+        silent_at: When an entry's process was last down or frozen, so that
             an owner may not be known to be dead.
     """
 
     def __init__(self, deployment, gone=(), is_disturbed=lambda: False):
-        """``gone`` names the agents of VMs that never come back."""
+        """Begin; ``gone`` has the agents of VMs that are permanently lost."""
         self._deployment = deployment
         self._gone = gone
         self._is_disturbed = is_disturbed
@@ -28,7 +29,7 @@
         self.silent_at = 0
 
     def look(self):
-        """Note what is wrong now; call several times a second."""
+        """Check for disruptions; call several times a second."""
         seen = self._processes()
         if seen != self._seen or self._is_wrong():
             self._touch()
@@ -41,7 +42,7 @@
             self.silent_at = self._now()
 
     def lasted_s(self):
-        """For how long nothing has been wrong."""
+        """Return the seconds since the last disruption."""
         return self._now() - self.since
 
     def _now(self):
@@ -56,7 +57,7 @@
         return [each for each in everyone if each.is_alive]
 
     def _processes(self):
-        """All that runs: an end and a start of a process change it."""
+        """Return a state that changes when any process ends or starts."""
         workers = self._deployment.workers
         lives = [(each, each.lives) for each in workers]
         return self._live(), lives, self._deployment.rows.kept_from
@@ -80,7 +81,7 @@
         return worker.is_dark or worker.slow_s or worker.is_unhealthy
 
     def _look_for_lost_answers(self):
-        """Each answer that is lost; not that some are going to be."""
+        """Count each lost answer, but not the intent to lose some."""
         for each in [*self._deployment.workers, self._deployment.rows]:
             armed = each.lose_next + getattr(each, 'lose_looks', 0)
             if armed < self._armed.get(each, 0):
--- a/standins/jobs/worker.py
+++ b/standins/jobs/worker.py
@@ -1,4 +1,4 @@
-"""The platform's runner in virtual time, with its faults."""
+"""A simulated platform runner in virtual time, with fault injection."""
 
 import contextlib
 import itertools
@@ -25,33 +25,35 @@
 SECOND_MS = 1000
 FIRST_CLOCK_MS = 1000
 BORN_BASE_MS = 1_700_000_000_000
-# A room that has shrunk counts this much later: three seconds and a beat.
+# Smaller resources are enforced after this time: 3 s and one announcement.
 SHRINK_S = 4.5
 
 
 class SimWorker:
-    """A runner that guards nothing: it starts what it is told to start.
+    """A runner without admission control: it starts whatever it is asked to.
 
     Attributes:
-        rate: How fast its steady clock runs.
-        labels: What it announces of itself.
-        is_dark: It answers nothing and runs on.
-        is_gone: It has left for good, and reports no more.
-        lose_next: So many orders are carried out and not answered.
-        late_s: How much later such orders are carried out.
-        slow_s: How long it takes over each call; half of it goes by before
-            the call is carried out. The agent waits for its timeout only.
+        rate: Speed of its monotonic clock.
+        labels: The labels that it announces.
+        is_dark: It answers no request and keeps running.
+        is_gone: It has left permanently and announces nothing any more.
+        lose_next: The number of next start, stop and pace requests that are
+            carried out but not answered.
+        late_s: The delay before these are carried out.
+        slow_s: The time that each request takes; it is carried out after half
+            of that. The agent waits no longer than its timeout.
         is_unhealthy: It refuses all starts.
-        leaves_at: When its VM is taken away, None for never.
-        kills: Whether the worker crashes when it starts a task.
-        kill_s: How long after the start it crashes.
-        away_s: How long it is away after such a crash.
+        leaves_at: When its VM is removed, None for never.
+        kills: Returns whether the worker crashes when it starts a task.
+        kill_s: The time from such a start to the crash.
+        away_s: The downtime after such a crash.
         has_beats: Whether its announcements reach its agent.
-        keeps_id: Each incarnation has the same id, and all counts start anew.
-        clocks_ms: What the steady clocks of its incarnations begin with.
-        lose_looks: So many looks are carried out and not answered.
-        lists_when_fenced: It lists also for a look with too low a fence.
-        tells_born: Whether it says when it started.
+        keeps_id: Each incarnation has the same ID, and all counters restart.
+        clocks_ms: The initial clock readings of its incarnations.
+        lose_looks: The number of next polls that are carried out but not
+            answered.
+        lists_when_fenced: It answers a poll even if its fence is too low.
+        tells_born: Whether it announces its start time.
     """
 
     def __init__(
@@ -87,7 +89,7 @@
         self.kill_s = 0.01
         self.away_s = 3
         self.is_down = False
-        # What it had before it shrank, as long as that may be counted on.
+        # The resources before it shrank, while agents may still rely on them.
         self.kept_room = None
         self.has_beats = True
         self.clocks_ms = itertools.repeat(FIRST_CLOCK_MS)
@@ -99,7 +101,7 @@
         self.begin()
 
     def begin(self):
-        """A new life."""
+        """Begin a new incarnation."""
         self.lives += 1
         self.boot = self.name
         if self.keeps_id:
@@ -124,7 +126,7 @@
         self.begin()
 
     def go_down(self, away_s):
-        """Crash, unless it is down, and come back later with a new life."""
+        """Crash, unless it is down, and restart later."""
         if self.is_down:
             return
         self.crash()
@@ -141,7 +143,7 @@
             self.go_down(self.away_s)
 
     def resize(self, room):
-        """Shrink or grow; a smaller room is to be kept to some time later."""
+        """Change the resources; smaller ones are enforced some time later."""
         before, self.room = self.room, room
         if not before.fits_in(room):
             self.kept_room = before
@@ -152,7 +154,7 @@
             self.kept_room = None
 
     def fail_all(self):
-        """Let all that runs end as failed."""
+        """End all runs as failed."""
         for run in list(self.runs.values()):
             self.end(run, AttemptEnd.FAILED)
 
@@ -163,7 +165,7 @@
         )
 
     def born_fields(self):
-        """What it says of its start in reports and lists."""
+        """Return the fields of its start time in announcements and listings."""
         if not self.tells_born:
             return {}
         return {'born': BORN_BASE_MS + int(self.born_at * SECOND_MS)}
@@ -205,7 +207,7 @@
         return self._order(boot, lambda: None)
 
     def settle(self):
-        """End what is over by now; call before any look at the lists."""
+        """End the runs that are due; call before reading the listing."""
         now = self.reactor.seconds()
         if self.runs and self.hold_ms and self.clock_ms() > self.hold_ms:
             for run in list(self.runs.values()):
@@ -247,7 +249,7 @@
         return answer
 
     def _call_slowly(self, boot, action, timeout_s):
-        """Carry a call out late; the caller may have given up by then."""
+        """Carry out a request late; the caller may have timed out by then."""
         heard = Deferred()
         done = Deferred()
         half_s = self.slow_s / 2
@@ -359,7 +361,7 @@
             run.stops_at = self.reactor.seconds() + STOP_S
 
     def end(self, run, how):
-        """End a run, and list its end."""
+        """End a run and list its end."""
         self.runs.pop(run.task)
         self.number += 1
         self.ends.append(
@@ -369,4 +371,4 @@
 
 
 def _ignore(_outcome):
-    """Nobody waits for this answer any more."""
+    """Drop an answer that came after the timeout."""
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -41,9 +41,9 @@
     deployment.run(1)
     deployment.cut_off('agent-0')
     deployment.run(15)
-    moved = [row for row in starts_of(deployment, job) if row[3] > 1]
-    assert len(moved) == 3
-    assert all(row[1] == 'worker-1' for row in moved)
+    restarts = [row for row in starts_of(deployment, job) if row[3] > 1]
+    assert len(restarts) == 3
+    assert all(row[1] == 'worker-1' for row in restarts)
 
 
 def test_tasks_of_a_restarted_worker_start_elsewhere_at_once():
@@ -54,8 +54,8 @@
     deployment.run(1)
     deployment.workers[0].crash()
     deployment.run(3)
-    again = [row for row in starts_of(deployment, job) if row[3] > 1]
-    assert len(again) == 2
+    restarts = [row for row in starts_of(deployment, job) if row[3] > 1]
+    assert len(restarts) == 2
     deployment.run(5)
     assert deployment.state(job.job_id) is JobState.COMPLETED
 
@@ -111,8 +111,8 @@
     deployment.run(1)
     deployment.workers[0].is_dark = True
     deployment.run(8)
-    again = [row for row in starts_of(deployment, job) if row[3] > 1]
-    assert len(again) == 2
+    restarts = [row for row in starts_of(deployment, job) if row[3] > 1]
+    assert len(restarts) == 2
 
 
 def test_a_leaving_worker_gets_no_new_tasks():
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -60,11 +60,11 @@
         return start(order)
 
     def slow_stop(*order):
-        heard = Deferred()
+        received = Deferred()
         deployment.reactor.callLater(
-            0.25, lambda: stop(*order).chainDeferred(heard)
+            0.25, lambda: stop(*order).chainDeferred(received)
         )
-        return heard
+        return received
 
     worker._start, worker.stop = late_once, slow_stop
     cancel(deployment, job)
@@ -106,12 +106,12 @@
     """
     deployment, _job = deployment_with_job()
     agent, worker = deployment.agents['agent-0'], deployment.workers[0]
-    take, heard = agent.take, []
+    take, received = agent.take, []
 
     def die_once(message, sender):
         take(message, sender)
-        if isinstance(message, EndsRecorded) and not heard:
-            heard.append(message)
+        if isinstance(message, EndsRecorded) and not received:
+            received.append(message)
             deployment.kill_agent('agent-0')
             deployment.reactor.callLater(
                 1, deployment.start_agent, 'agent-0', worker
@@ -119,7 +119,7 @@
 
     agent.take = die_once
     deployment.run(10)
-    assert heard
+    assert received
     assert not worker.ends
 
 
@@ -187,13 +187,13 @@
     The agent must not treat the entry as disconnected, since the newer
     connection is open.
     """
-    opened, closed, heard = [], [], []
+    opened, closed, received = [], [], []
     dialler = LinkDialler(
         None,
         StoppedClock(),
         AgentGreeting('agent', 'zone'),
         opened.append,
-        lambda entry_id, message: heard.append(message),
+        lambda entry_id, message: received.append(message),
         closed.append,
     )
     dialler.add_addresses(['old:1', 'new:1'])
@@ -203,7 +203,7 @@
         dialled._opened(connection)
         dialled._received(connection, EntryGreeting('entry'))
     old._received(old.connection, ReportRequest([]))
-    assert not heard
+    assert not received
     old._closed(old.connection)
     assert dialler.connected == ['entry']
     assert not closed
--- a/tests/test_jobs_returning_workers.py
+++ b/tests/test_jobs_returning_workers.py
@@ -32,13 +32,13 @@
     """The fields of each logged crash of a worker."""
     logged = []
 
-    def hear(event, fields):
+    def record(event, fields):
         if event is Event.WORKER_CRASHED:
             logged.append(fields)
 
-    listen_to_events(hear)
+    listen_to_events(record)
     yield logged
-    _emit._listeners.remove(hear)
+    _emit._listeners.remove(record)
 
 
 def after_first_job(**options):
@@ -117,12 +117,12 @@
         deployment.run(0.01)
         for worker in deployment.workers:
             if not worker.lose_next:
-                spare_others(deployment, worker)
+                answer_others(deployment, worker)
                 return job, worker
     raise AssertionError('no start was sent')
 
 
-def spare_others(deployment, worker):
+def answer_others(deployment, worker):
     for other in deployment.workers:
         if other is not worker:
             other.lose_next = 0
@@ -181,17 +181,17 @@
 
 def lose_first_acknowledgement(worker, late_s):
     """Delay the first acknowledgement; return a list to which it is added."""
-    look_as_before = worker.poll
+    poll_without_loss = worker.poll
     lost = []
 
-    def look(asked):
-        if asked.acked_through and not lost:
-            lost.append(asked)
+    def poll(request):
+        if request.acked_through and not lost:
+            lost.append(request)
             worker.late_s = late_s
             worker.lose_looks = 1
-        return look_as_before(asked)
+        return poll_without_loss(request)
 
-    worker.poll = look
+    worker.poll = poll
     return lost
 
 
--- a/tests/test_worker_lives.py
+++ b/tests/test_past_incarnation.py
@@ -13,9 +13,11 @@
 
 
 def attempt(ordered_at, is_confirmed=True, tries=1):
-    made = Attempt('job.0.0.0', 1, 0, Phase.STARTING, ordered_at, tries=tries)
-    made.confirmed_at = ordered_at if is_confirmed else None
-    return made
+    started = Attempt(
+        'job.0.0.0', 1, 0, Phase.STARTING, ordered_at, tries=tries
+    )
+    started.confirmed_at = ordered_at if is_confirmed else None
+    return started
 
 
 @pytest.mark.parametrize(
