--- a/hyssopring/jobs/worker_port.py
+++ b/hyssopring/jobs/worker_port.py
@@ -181,10 +181,10 @@
     It fails with ``WorkerUnreachable`` or ``WorkerReplaced``.
     """
 
-    def poll(self, look: PollRequest) -> Any:
+    def poll(self, request: PollRequest) -> Any:
         """Return a deferred ``Listing``."""
 
-    def start(self, start: StartRequest) -> Any:
+    def start(self, request: StartRequest) -> Any:
         """Return a deferred ``StartOutcome``."""
 
     def stop(self, boot: str, fence: int, task: str, attempt: int) -> Any:
--- a/standins/jobs/advice.py
+++ b/standins/jobs/advice.py
@@ -123,28 +123,28 @@
         self.process_reactor = process_reactor
 
     def ask(self, question):
-        heard = Deferred()
+        result = Deferred()
         later = self.service.reactor.callLater
         limit_ms = PATIENCE * question.expected_ms + TIMEOUT_MS
-        limit = later(limit_ms / MILLIS, self._silent, heard)
+        limit = later(limit_ms / MILLIS, self._time_out, result)
 
         def answered(status, advised):
-            later(LINK_S, self._heard, heard, limit, status, advised)
+            later(LINK_S, self._deliver, result, limit, status, advised)
 
         later(LINK_S, self.service.take, self.asker, question, answered)
-        return heard
+        return result
 
-    def _heard(self, heard, limit, status, advised):
+    def _deliver(self, result, limit, status, advised):
         if not limit.active():
             return
         limit.cancel()
         if advised is None:
-            self._fail(heard, f'the service answered {status}')
+            self._fail(result, f'the service answered {status}')
         else:
-            self.process_reactor.run(heard.callback, advised)
+            self.process_reactor.run(result.callback, advised)
 
-    def _silent(self, heard):
-        self._fail(heard, 'no answer in time')
+    def _time_out(self, result):
+        self._fail(result, 'no answer in time')
 
-    def _fail(self, heard, reason):
-        self.process_reactor.run(heard.errback, AdviceUnavailable(reason))
+    def _fail(self, result, reason):
+        self.process_reactor.run(result.errback, AdviceUnavailable(reason))
--- a/standins/jobs/calm.py
+++ b/standins/jobs/calm.py
@@ -20,21 +20,21 @@
         self.pending = 0
         self.since = 0
 
-    def touch(self, ahead_s=0):
+    def record_fault(self, ahead_s=0):
         """Record a fault that lasts for ``ahead_s`` seconds from now."""
         now = self._deployment.reactor.seconds()
         self.since = max(self.since, now + ahead_s)
 
-    def look(self):
+    def check(self):
         """Check for faults; call several times a second."""
         if self.pending:
-            self.touch()
+            self.record_fault()
         for process in self._processes():
             if process.thaws_at is not None:
                 self.since = max(self.since, process.thaws_at)
         for each in [*self._deployment.workers, self._deployment.rows]:
             if each.lose_next:
-                self.touch(each.late_s)
+                self.record_fault(each.late_s)
 
     def lasted_s(self):
         """Return the seconds since the last fault."""
@@ -42,5 +42,5 @@
 
     def _processes(self):
         deployment = self._deployment
-        everyone = [*deployment.entries.values(), *deployment.agents.values()]
-        return [each for each in everyone if each.is_alive]
+        processes = [*deployment.entries.values(), *deployment.agents.values()]
+        return [each for each in processes if each.is_alive]
--- a/standins/jobs/faults.py
+++ b/standins/jobs/faults.py
@@ -68,7 +68,7 @@
 
     def _tick(self):
         self.deployment.run(TICK_S)
-        self.watch.look(self._live_keepers())
+        self.watch.check(self._live_keepers())
 
     def _live_keepers(self):
         """Return the accepted jobs of keepers."""
--- a/standins/jobs/keeper_watch.py
+++ b/standins/jobs/keeper_watch.py
@@ -9,7 +9,7 @@
 WINDOW_S = 3
 CALM_S = 4
 # Free resources must suffice for this many tasks of its size.
-ROOMS = 2
+MIN_FITTING = 2
 
 
 class KeeperWatch:
@@ -44,11 +44,11 @@
         """Lines of all violations of a bound."""
         return [*self.elsewhere.values(), *self.on_lost.values()]
 
-    def look(self, jobs):
+    def check(self, jobs):
         """Check jobs that should be running; call several times a second."""
-        self._stillness.look()
-        self._lost_vms.look()
-        rooms = self._count_rooms()
+        self._stillness.check()
+        self._lost_vms.check()
+        count_fitting = self._fit_counter()
         wanted = {
             str(task): step.reserved_size
             for job in jobs
@@ -59,11 +59,11 @@
             self._wanted_since.pop(task)
         for task, size in wanted.items():
             self._wanted_since.setdefault(task, self._now())
-            if rooms(size) < ROOMS:
+            if count_fitting(size) < MIN_FITTING:
                 self._room_since.pop(task, None)
             self._room_since.setdefault(task, self._now())
-            if rooms(size) >= ROOMS and not self.is_running(task):
-                self._wait(task)
+            if count_fitting(size) >= MIN_FITTING and not self.is_running(task):
+                self._check_wait(task)
 
     def is_running(self, task):
         return bool(self._deployment.book.running.get(task))
@@ -71,7 +71,7 @@
     def _now(self):
         return self._deployment.reactor.seconds()
 
-    def _wait(self, task):
+    def _check_wait(self, task):
         ended_at, vm = self._last_run(task)
         lost_at = self._lost_vms.lost_at.get(vm)
         calm_since = self._stillness.since
@@ -100,15 +100,15 @@
         never = (self._wanted_since[task], None)
         return self._deployment.book.last_run_by_task.get(task, never)
 
-    def _count_rooms(self):
+    def _fit_counter(self):
         """Return a function that counts how many tasks of a size would fit.
 
         No worker counts for more tasks than are required in total.
         """
-        free = [self._free(worker) for worker in self._takers()]
-        return lambda size: sum(_times(size, each) for each in free)
+        free = [self._free(worker) for worker in self._schedulable_workers()]
+        return lambda size: sum(_fit_count(size, each) for each in free)
 
-    def _takers(self):
+    def _schedulable_workers(self):
         for agent in self._deployment.agents.values():
             if not is_away(agent) and not agent.worker.is_leaving:
                 yield agent.worker
@@ -121,10 +121,10 @@
         return worker.room.minus(used)
 
 
-def _times(size, free):
+def _fit_count(size, free):
     """Return how many times a size fits, up to the required number."""
     count = 0
-    while count < ROOMS and size.fits_in(free):
+    while count < MIN_FITTING and size.fits_in(free):
         free = free.minus(size)
         count += 1
     return count
--- a/standins/jobs/lasting_rule.py
+++ b/standins/jobs/lasting_rule.py
@@ -4,7 +4,7 @@
 # disruption for the last CALM_S of that time.
 AWAY_S = 9
 CALM_S = 7
-LOOK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 
 
 class LastingRule:
@@ -37,18 +37,18 @@
 
     def run(self, seconds):
         """Advance the time and check the tasks."""
-        for _each in range(round(seconds / LOOK_S)):
-            self._deployment.run(LOOK_S)
-            self._look()
+        for _each in range(round(seconds / CHECK_INTERVAL_S)):
+            self._deployment.run(CHECK_INTERVAL_S)
+            self._check()
 
-    def _look(self):
+    def _check(self):
         now = self._deployment.reactor.seconds()
         is_calm = now - self._disturbed_at >= CALM_S
         for task, last_at in self._last_at.items():
             if self._deployment.book.running.get(task):
                 self._last_at[task] = now
                 continue
-            away_s = round(now - last_at, 2)
-            self.longest_s = max(self.longest_s, away_s)
-            if is_calm and away_s >= AWAY_S:
-                self.lost[task] = away_s
+            down_s = round(now - last_at, 2)
+            self.longest_s = max(self.longest_s, down_s)
+            if is_calm and down_s >= AWAY_S:
+                self.lost[task] = down_s
--- a/standins/jobs/lost_vms.py
+++ b/standins/jobs/lost_vms.py
@@ -26,17 +26,17 @@
     def __init__(self, deployment, stillness):
         self._deployment = deployment
         self._stillness = stillness
-        self._reign = None
-        self._reign_since = 0
+        self._owned_shard = None
+        self._owned_since = 0
         self._noticed_at = {}
         self.lost_at = {}
 
-    def look(self):
+    def check(self):
         """Check which VMs are lost; call several times a second."""
         now = self._deployment.reactor.seconds()
-        reign = self._find_reign()
-        if reign is not self._reign:
-            self._reign, self._reign_since = reign, now
+        reign = self._find_owned_shard()
+        if reign is not self._owned_shard:
+            self._owned_shard, self._owned_since = reign, now
         for agent in self._deployment.agents.values():
             name = agent.worker.name
             if not is_away(agent):
@@ -44,7 +44,7 @@
                 self._noticed_at.pop(name, None)
                 continue
             lost_at = self.lost_at.setdefault(name, now)
-            noticed_at = max(lost_at, self._reign_since)
+            noticed_at = max(lost_at, self._owned_since)
             if reign is not None and now - noticed_at >= NOTICED_S:
                 self._noticed_at.setdefault(name, noticed_at)
 
@@ -60,7 +60,7 @@
         over_at = max(noticed_at, self._stillness.silent_at) + GRANT_OVER_S
         return min(over_at, noticed_at + SILENT_OVER_S)
 
-    def _find_reign(self):
+    def _find_owned_shard(self):
         """Return the shard of the newest live owner, None for no owner."""
         found = [
             owned
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -18,8 +18,8 @@
     report_fields,
 )
 
-AGENT_TURN_S = 0.1
-ENTRY_TURN_S = 0.2
+AGENT_TICK_S = 0.1
+ENTRY_TICK_S = 0.2
 POLL_S = 1.5
 BEAT_S = 1.5
 REDIAL_S = 0.3
@@ -109,7 +109,7 @@
             AdviceLink(deployment.advice, name, self.reactor),
         )
         self.every(RENEW_MS / MILLIS_PER_SECOND, self.membership.tick)
-        self.every(ENTRY_TURN_S, self.core.tick)
+        self.every(ENTRY_TICK_S, self.core.tick)
         self.every(POLL_S, self.core.poll)
         self.reactor.callLater(0, self.membership.tick)
 
@@ -144,8 +144,8 @@
         self.worker = worker
         self.process_reactor = process_reactor
 
-    def poll(self, look):
-        return self._carry(self.worker.poll(look))
+    def poll(self, request):
+        return self._carry(self.worker.poll(request))
 
     def start(self, start):
         return self._carry(self.worker.start(start))
@@ -157,13 +157,13 @@
         return self._carry(self.worker.set_pace(*order))
 
     def _carry(self, answer):
-        heard = Deferred()
+        result = Deferred()
         run = self.process_reactor.run
         answer.addCallbacks(
-            lambda outcome: run(heard.callback, outcome),
-            lambda failure: run(heard.errback, failure),
+            lambda outcome: run(result.callback, outcome),
+            lambda failure: run(result.errback, failure),
         )
-        return heard
+        return result
 
 
 def agent_port(worker):
@@ -189,12 +189,12 @@
             self.send,
             deployment.wall_ms,
         )
-        watch = self.core.monitor
+        monitor = self.core.monitor
         self.reports = ReportsResource(
-            watch.announce, watch.withdraw, (OWN_HOST,)
+            monitor.announce, monitor.withdraw, (OWN_HOST,)
         )
         self.links = set()
-        self.every(AGENT_TURN_S, self.core.tick)
+        self.every(AGENT_TICK_S, self.core.tick)
         self.every(BEAT_S, self.beat)
         self.every(REDIAL_S, self.dial)
         self.reactor.callLater(0, self.beat)
--- a/standins/jobs/returning_days.py
+++ b/standins/jobs/returning_days.py
@@ -58,7 +58,7 @@
 
     def _lose(self, worker):
         worker.lose_next = self.random.randint(1, 8)
-        worker.lose_looks = self.random.randint(0, 2)
+        worker.lose_polls = self.random.randint(0, 2)
         worker.late_s = self.random.choice([0.1, 0.5, 1, 2, 4])
 
     def _lose_calls_and_restart(self):
@@ -69,4 +69,4 @@
     def _heal(self):
         super()._heal()
         for worker in self.deployment.workers:
-            worker.lose_looks = 0
+            worker.lose_polls = 0
--- a/standins/jobs/rolling_days.py
+++ b/standins/jobs/rolling_days.py
@@ -62,7 +62,7 @@
 
     def _tick(self):
         super()._tick()
-        self.calm.look()
+        self.calm.check()
 
     def _work_ms(self, task):
         job_id, _occurrence, step, _index = task.split('.')
--- a/standins/jobs/rolling_faults.py
+++ b/standins/jobs/rolling_faults.py
@@ -54,7 +54,7 @@
         return KeeperWatch(self.deployment, stillness)
 
     def _kinds(self):
-        self.calm.touch()
+        self.calm.record_fault()
         if self.random.random() > NEW_PART:
             return super()._kinds()
         return [
@@ -80,7 +80,7 @@
 
     def _part_over(self, action, *given):
         self.calm.pending -= 1
-        self.calm.touch()
+        self.calm.record_fault()
         action(*given)
 
     def _fails(self, task):
@@ -275,7 +275,7 @@
         self.random.choice(self.deployment.workers).fail_all()
 
     def _heal(self):
-        self.calm.touch()
+        self.calm.record_fault()
         self.links.heal_all()
         self._quick_store()
         self.deployment.rows.lose_next = 0
--- a/standins/jobs/shared_worker.py
+++ b/standins/jobs/shared_worker.py
@@ -77,7 +77,7 @@
         self.site = site
         self.used_core_s = 0
         self._shared = {}
-        self._looks = []
+        self._pending_polls = []
         self._settled_at = reactor.seconds()
         self._figure_at = reactor.seconds()
         self._random = random.Random(f'worker {name}')
@@ -87,26 +87,26 @@
         super().begin()
         self._shared = {}
 
-    def poll(self, look):
+    def poll(self, request):
         """Answer a poll when a task has ended, or after its wait time."""
-        if self.is_dark or self.slow_s or look.boot != self.boot:
-            return super().poll(look)
+        if self.is_dark or self.slow_s or request.boot != self.boot:
+            return super().poll(request)
         answer = Deferred()
-        due = self.reactor.seconds() + max(CALL_S, look.wait_ms / MILLIS)
-        self._looks.append((due, answer, look))
+        due = self.reactor.seconds() + max(CALL_S, request.wait_ms / MILLIS)
+        self._pending_polls.append((due, answer, request))
         return answer
 
     def settle(self):
         """Advance the tasks by the time since the last call."""
         now = self.reactor.seconds()
-        passed = now - self._settled_at
+        elapsed_s = now - self._settled_at
         self._settled_at = now
-        if passed > 0:
-            self._work(now, passed)
+        if elapsed_s > 0:
+            self._work(now, elapsed_s)
             if now - self._figure_at >= FIGURE_S:
-                self._take_figures(now)
+                self._complete_measurements(now)
         super().settle()
-        self._answer_looks(now)
+        self._answer_polls(now)
 
     def set_pace(self, boot, fence, task, attempt, percent):
         return self._order(boot, lambda: self._pace(task, attempt, percent))
@@ -116,7 +116,7 @@
         if shared is not None and shared.number == attempt:
             self.reactor.callLater(PACE_S, setattr, shared, 'pace', percent)
 
-    def _work(self, now, passed):
+    def _work(self, now, elapsed_s):
         self._share_cores(now)
         use = Counter()
         for task, run in list(self.runs.items()):
@@ -125,12 +125,12 @@
                 shared.cores = 0
             if shared.step.fills:
                 use[shared.step.image] += shared.cores
-            shared.done += shared.cores * passed
-            self.used_core_s += shared.cores * passed * shared.step.fills
+            shared.done += shared.cores * elapsed_s
+            self.used_core_s += shared.cores * elapsed_s * shared.step.fills
             if shared.done >= shared.work:
                 run.ends_at = now
         for task in self.runs:
-            self._feel(self._shared[task], use, now, passed)
+            self._measure(self._shared[task], use, now, elapsed_s)
 
     def _share_cores(self, now):
         """Divide the remaining cores among best-effort tasks by request."""
@@ -152,46 +152,50 @@
                 cores = shared.step.size.cpu_millis / MILLIS * shared.appetite
                 shared.cores = cores * shared.pace / FULL_PACE * part
 
-    def _feel(self, shared, use, now, passed):
+    def _measure(self, shared, use, now, elapsed_s):
         if not shared.step.target_ms:
-            shared.sum_of_figure += shared.cores * passed * MILLIS
+            shared.sum_of_figure += shared.cores * elapsed_s * MILLIS
             return
         if not shared.is_at_work(now):
             return
         image, target = shared.step.image, shared.step.target_ms
         shared.tail_ms = self.interference.tail_ms(image, use, now)
         shared.alone_ms = self.interference.tail_ms(image, {}, now)
-        shared.sum_of_figure += shared.tail_ms * passed
+        shared.sum_of_figure += shared.tail_ms * elapsed_s
         times = self.site.times
-        times.at_work += passed
+        times.at_work += elapsed_s
         if shared.tail_ms > target:
-            times.over += passed
+            times.over += elapsed_s
             if shared.alone_ms <= target:
-                times.harmed += passed
+                times.harmed += elapsed_s
 
-    def _take_figures(self, now):
-        passed = now - self._figure_at
+    def _complete_measurements(self, now):
+        elapsed_s = now - self._figure_at
         self._figure_at = now
         for shared in self._shared.values():
-            figure = shared.sum_of_figure / passed
+            figure = shared.sum_of_figure / elapsed_s
             if shared.step.target_ms:
                 figure *= self._random.gauss(1, self.interference.noise)
             shared.figure = max(0, round(figure))
             shared.sum_of_figure = 0
 
-    def _answer_looks(self, now):
-        looks, self._looks = self._looks, []
-        for due, answer, look in looks:
-            has_news = any(end.number > look.acked_through for end in self.ends)
+    def _answer_polls(self, now):
+        polls, self._pending_polls = self._pending_polls, []
+        for due, answer, request in polls:
+            has_news = any(
+                end.number > request.acked_through for end in self.ends
+            )
             if now >= due or has_news:
                 self._answer(
-                    answer, look.boot, lambda look=look: self._look(look)
+                    answer,
+                    request.boot,
+                    lambda request=request: self._look(request),
                 )
             else:
-                self._looks.append((due, answer, look))
+                self._pending_polls.append((due, answer, request))
 
-    def _look(self, look):
-        listing = super()._look(look)
+    def _look(self, request):
+        listing = super()._look(request)
         rows = tuple(self._row(row) for row in listing.rows)
         return Listing(listing.clock_ms, rows, listing.ends)
 
--- a/standins/jobs/stillness.py
+++ b/standins/jobs/stillness.py
@@ -23,18 +23,18 @@
         self._deployment = deployment
         self._gone = gone
         self._is_disturbed = is_disturbed
-        self._seen = None
+        self._last_processes = None
         self._armed = {}
         self.since = 0
         self.silent_at = 0
 
-    def look(self):
+    def check(self):
         """Check for disruptions; call several times a second."""
-        seen = self._processes()
-        if seen != self._seen or self._is_wrong():
-            self._touch()
-        self._seen = seen
-        self._look_for_lost_answers()
+        processes = self._processes()
+        if processes != self._last_processes or self._is_wrong():
+            self._record_disruption()
+        self._last_processes = processes
+        self._check_lost_answers()
         for process in self._live():
             if process.thaws_at is not None:
                 self.since = max(self.since, process.thaws_at)
@@ -48,7 +48,7 @@
     def _now(self):
         return self._deployment.reactor.seconds()
 
-    def _touch(self, ahead_s=0):
+    def _record_disruption(self, ahead_s=0):
         self.since = max(self.since, self._now() + ahead_s)
 
     def _live(self):
@@ -59,8 +59,8 @@
     def _processes(self):
         """Return a state that changes when any process ends or starts."""
         workers = self._deployment.workers
-        lives = [(each, each.lives) for each in workers]
-        return self._live(), lives, self._deployment.rows.kept_from
+        incarnations = [(each, each.incarnation_count) for each in workers]
+        return self._live(), incarnations, self._deployment.rows.kept_from
 
     def _is_wrong(self):
         deployment, rows = self._deployment, self._deployment.rows
@@ -80,12 +80,12 @@
             return False
         return worker.is_dark or worker.slow_s or worker.is_unhealthy
 
-    def _look_for_lost_answers(self):
+    def _check_lost_answers(self):
         """Count each lost answer, but not the intent to lose some."""
         for each in [*self._deployment.workers, self._deployment.rows]:
-            armed = each.lose_next + getattr(each, 'lose_looks', 0)
+            armed = each.lose_next + getattr(each, 'lose_polls', 0)
             if armed < self._armed.get(each, 0):
-                self._touch(each.late_s)
+                self._record_disruption(each.late_s)
             self._armed[each] = armed
 
     def _is_silent(self, entry):
--- a/standins/jobs/worker.py
+++ b/standins/jobs/worker.py
@@ -50,10 +50,10 @@
         has_beats: Whether its announcements reach its agent.
         keeps_id: Each incarnation has the same ID, and all counters restart.
         clocks_ms: The initial clock readings of its incarnations.
-        lose_looks: The number of next polls that are carried out but not
+        lose_polls: The number of next polls that are carried out but not
             answered.
-        lists_when_fenced: It answers a poll even if its fence is too low.
-        tells_born: Whether it announces its start time.
+        answers_when_fenced: It answers a poll even if its fence is too low.
+        announces_born: Whether it announces its start time.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self.slow_s = 0
         self.is_unhealthy = False
         self.leaves_at = None
-        self.lives = 0
+        self.incarnation_count = 0
         self.sequence = 0
         self.fails = lambda task: False
         self.kills = lambda task: False
@@ -93,21 +93,21 @@
         self.kept_room = None
         self.has_beats = True
         self.clocks_ms = itertools.repeat(FIRST_CLOCK_MS)
-        self.lose_looks = 0
-        self.tells_born = keeps_id
-        self.lists_when_fenced = True
+        self.lose_polls = 0
+        self.announces_born = keeps_id
+        self.answers_when_fenced = True
         self.fill_tasks = set()
         self.advice = None
         self.begin()
 
     def begin(self):
         """Begin a new incarnation."""
-        self.lives += 1
+        self.incarnation_count += 1
         self.boot = self.name
         if self.keeps_id:
             self.sequence = 0
         else:
-            self.boot = f'{self.name}-{self.lives}'
+            self.boot = f'{self.name}-{self.incarnation_count}'
         self.born_at = self.reactor.seconds()
         self.first_clock_ms = next(self.clocks_ms)
         self.fence = 0
@@ -137,8 +137,8 @@
         self.is_down = False
         self.begin()
 
-    def _crash_under(self, task, lives):
-        if lives == self.lives:
+    def _crash_if_same(self, task, incarnation_count):
+        if incarnation_count == self.incarnation_count:
             self.book.killed(task, self)
             self.go_down(self.away_s)
 
@@ -147,9 +147,9 @@
         before, self.room = self.room, room
         if not before.fits_in(room):
             self.kept_room = before
-            self.reactor.callLater(SHRINK_S, self._keep_to, room)
+            self.reactor.callLater(SHRINK_S, self._enforce_capacity, room)
 
-    def _keep_to(self, room):
+    def _enforce_capacity(self, room):
         if self.room is room:
             self.kept_room = None
 
@@ -166,7 +166,7 @@
 
     def born_fields(self):
         """Return the fields of its start time in announcements and listings."""
-        if not self.tells_born:
+        if not self.announces_born:
             return {}
         return {'born': BORN_BASE_MS + int(self.born_at * SECOND_MS)}
 
@@ -190,12 +190,14 @@
         left_s = self.leaves_at - self.reactor.seconds()
         return max(0, int(left_s * SECOND_MS))
 
-    def poll(self, look):
-        timeout_s = look.timeout_ms / SECOND_MS
-        if self.lose_looks and not self.is_dark:
-            self.lose_looks -= 1
-            return self._lose(look.boot, lambda: self._look(look), timeout_s)
-        return self._call(look.boot, lambda: self._look(look), timeout_s)
+    def poll(self, request):
+        timeout_s = request.timeout_ms / SECOND_MS
+        if self.lose_polls and not self.is_dark:
+            self.lose_polls -= 1
+            return self._carry_out_unanswered(
+                request.boot, lambda: self._look(request), timeout_s
+            )
+        return self._call(request.boot, lambda: self._look(request), timeout_s)
 
     def start(self, start):
         return self._order(start.boot, lambda: self._start(start))
@@ -222,14 +224,16 @@
     def _order(self, boot, action):
         if self.lose_next and not self.is_dark:
             self.lose_next -= 1
-            return self._lose(boot, action)
+            return self._carry_out_unanswered(boot, action)
         return self._call(boot, action)
 
-    def _lose(self, boot, action, timeout_s=TIMEOUT_S):
-        self.reactor.callLater(self.late_s, self._if_same, boot, action)
+    def _carry_out_unanswered(self, boot, action, timeout_s=TIMEOUT_S):
+        self.reactor.callLater(
+            self.late_s, self._carry_out_if_current, boot, action
+        )
         return self._fail(WorkerUnreachable('lost'), timeout_s)
 
-    def _if_same(self, boot, action):
+    def _carry_out_if_current(self, boot, action):
         if boot == self.boot and not self.is_down:
             self.settle()
             with contextlib.suppress(WorkerUnreachable):
@@ -250,17 +254,19 @@
 
     def _call_slowly(self, boot, action, timeout_s):
         """Carry out a request late; the caller may have timed out by then."""
-        heard = Deferred()
+        answer = Deferred()
         done = Deferred()
         half_s = self.slow_s / 2
         later = self.reactor.callLater
         if self.slow_s > timeout_s:
-            later(timeout_s, heard.errback, WorkerUnreachable('slow'))
+            later(timeout_s, answer.errback, WorkerUnreachable('slow'))
             done.addBoth(_ignore)
         else:
-            done.addBoth(lambda outcome: later(half_s, heard.callback, outcome))
+            done.addBoth(
+                lambda outcome: later(half_s, answer.callback, outcome)
+            )
         later(half_s, self._answer, done, boot, action)
-        return heard
+        return answer
 
     def _answer(self, answer, boot, action):
         if self.is_down:
@@ -287,13 +293,13 @@
             most = self.clock_ms() + HOLD_MAX_MS
             self.hold_ms = max(self.hold_ms, min(until_ms, most))
 
-    def _look(self, look):
-        if look.fence < self.fence and not self.lists_when_fenced:
+    def _look(self, request):
+        if request.fence < self.fence and not self.answers_when_fenced:
             raise WorkerFenced('a higher fence was seen')
-        if look.fence >= self.fence:
-            self.fence = look.fence
-            self._hold(look.hold_until_ms)
-            self._acknowledge(look.acked_through)
+        if request.fence >= self.fence:
+            self.fence = request.fence
+            self._hold(request.hold_until_ms)
+            self._acknowledge(request.acked_through)
         rows = tuple(
             WorkerRow(run.task, run.number, run.checkpoint, 50, 0)
             for run in self.runs.values()
@@ -334,7 +340,10 @@
         self._check_room()
         if self.kills(start.task):
             self.reactor.callLater(
-                self.kill_s, self._crash_under, start.task, self.lives
+                self.kill_s,
+                self._crash_if_same,
+                start.task,
+                self.incarnation_count,
             )
         return StartOutcome.STARTED
 
--- a/tests/test_jobs_returning_workers.py
+++ b/tests/test_jobs_returning_workers.py
@@ -188,7 +188,7 @@
         if request.acked_through and not lost:
             lost.append(request)
             worker.late_s = late_s
-            worker.lose_looks = 1
+            worker.lose_polls = 1
         return poll_without_loss(request)
 
     worker.poll = poll
@@ -212,7 +212,7 @@
     """Guards against a worker that rejects every agent after a clock set back."""
     deployment = after_first_job(workers=1)
     worker = deployment.workers[0]
-    worker.lists_when_fenced = lists
+    worker.answers_when_fenced = lists
     worker.fence += 10**8
     deployment.kill_agent('agent-0')
     deployment.run(1)
@@ -231,13 +231,13 @@
     """
     deployment = returning(work_ms=lambda task: LONG_MS)
     for worker in deployment.workers:
-        worker.tells_born = False
+        worker.announces_born = False
     restart_agents(deployment)
     job = a_job(2, steps=((6, ()),))
     deployment.submit(job)
     deployment.run(2)
     for worker in deployment.workers:
-        worker.tells_born = True
+        worker.announces_born = True
     restart_agents(deployment)
     deployment.run(8)
     assert deployment.state(job.job_id) is JobState.COMPLETED
@@ -345,7 +345,7 @@
     """Guards against delayed requests that arrive before the first poll."""
     deployment = returning(workers=1)
     worker, agent = deployment.workers[0], deployment.agents['agent-0']
-    worker.lose_looks = 1
+    worker.lose_polls = 1
     deployment.run(0.02)
     former = agent.core.monitor.boot
     worker.crash()
--- a/tests/test_keeper_watch.py
+++ b/tests/test_keeper_watch.py
@@ -31,7 +31,7 @@
         self.book = Book()
         self.book.sizes[JOB.job_id] = SIZE
         self.reactor = SimpleNamespace(seconds=lambda: self.now)
-        self.stillness = SimpleNamespace(since=0, silent_at=0, look=list)
+        self.stillness = SimpleNamespace(since=0, silent_at=0, check=list)
         room = Size(1000 * rooms, 1000 * rooms, 0)
         self.agents = {
             name: SimpleNamespace(
@@ -69,7 +69,7 @@
     def until(self, seconds):
         """Check several times a second until then."""
         while self.now < seconds:
-            self.watch.look([JOB])
+            self.watch.check([JOB])
             self.now += TICK_S
         return self.watch
 
--- a/tests/test_lost_vms.py
+++ b/tests/test_lost_vms.py
@@ -39,7 +39,7 @@
     def until(self, seconds):
         """Check several times a second until then."""
         while self.now < seconds:
-            self.vms.look()
+            self.vms.check()
             self.now = round(self.now + TICK_S, 1)
 
     def over_after(self):
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -12,7 +12,7 @@
 def watched(seconds, deployment, stillness):
     for _tick in range(round(seconds / TICK_S)):
         deployment.run(TICK_S)
-        stillness.look()
+        stillness.check()
 
 
 def still(**options):
