--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -131,13 +131,15 @@
 
     def tick(self) -> None:
         """Do periodic work; call a few times a second."""
-        now = self._clock.now()
+        now_ms = self._clock.now()
         self.monitor.check()
         for entry_id, reported_at in list(self._reported_at_by_entry.items()):
-            if self._leases.is_due(now, reported_at):
+            if self._leases.is_due(now_ms, reported_at):
                 self._report(entry_id)
-        if self._leases.latest_expiry > now and not self._awaits_grants(now):
-            self._stop_ungranted(now)
+        if self._leases.latest_expiry > now_ms and not self._awaits_grants(
+            now_ms
+        ):
+            self._stop_ungranted(now_ms)
         self.shutdown.announce(self._reported_at_by_entry)
 
     @singledispatchmethod
@@ -150,72 +152,68 @@
         )
 
     @take.register
-    def _handle_grant(self, message: Grant, entry_id: str) -> None:
+    def _handle_grant(self, grant: Grant, entry_id: str) -> None:
         self._leases.renew(
             entry_id,
-            message.sequence,
-            message.reigns,
-            message.ttl_ms,
+            grant.sequence,
+            grant.reigns,
+            grant.ttl_ms,
         )
 
     @take.register
     def _handle_report_request(
-        self, message: ReportRequest, entry_id: str
+        self, request: ReportRequest, entry_id: str
     ) -> None:
-        self._received_starts.set_connection(entry_id, message.connection)
-        for owned in message.reigns:
+        self._received_starts.set_connection(entry_id, request.connection)
+        for owned in request.reigns:
             self._leases.observe_epoch(owned.shard, owned.reign, entry_id)
         self._report(entry_id)
 
     @take.register
-    def _handle_ends_recorded(
-        self, message: EndsRecorded, entry_id: str
-    ) -> None:
-        if message.boot != self.monitor.boot:
+    def _handle_ends_recorded(self, ends: EndsRecorded, entry_id: str) -> None:
+        if ends.boot != self.monitor.boot:
             return
-        self._ends.forget(message.numbers)
+        self._ends.forget(ends.numbers)
 
     @take.register
-    def _handle_facts(self, message: TaskFacts, entry_id: str) -> None:
-        attempt = self.table.by_task.get(message.task)
-        if attempt is not None and attempt.number == message.attempt:
-            attempt.facts = message
+    def _handle_facts(self, facts: TaskFacts, entry_id: str) -> None:
+        attempt = self.table.by_task.get(facts.task)
+        if attempt is not None and attempt.number == facts.attempt:
+            attempt.facts = facts
 
     @take.register
-    def _handle_start(self, message: StartOrder, entry_id: str) -> None:
-        facts = message.facts
-        if not self._received_starts.record(entry_id, message.connection):
-            self._refuse(entry_id, message.shard, facts, 'connection')
+    def _handle_start(self, order: StartOrder, entry_id: str) -> None:
+        facts = order.facts
+        if not self._received_starts.record(entry_id, order.connection):
+            self._refuse(entry_id, order.shard, facts, 'connection')
             return
-        reason = self._refusal_reason(message, entry_id)
+        reason = self._refusal_reason(order, entry_id)
         if reason:
-            self._refuse(entry_id, message.shard, facts, reason)
+            self._refuse(entry_id, order.shard, facts, reason)
             return
         attempt = Attempt(
             facts.task,
             facts.attempt,
-            message.shard,
+            order.shard,
             Phase.STARTING,
             self._clock.now(),
             facts,
-            message.checkpoint,
-            is_trial=message.is_trial,
+            order.checkpoint,
+            is_trial=order.is_trial,
         )
         self.table.add(attempt)
-        self._orders.start(message, attempt)
+        self._orders.start(order, attempt)
         self._schedule_report()
 
     @take.register
-    def _handle_stop(self, message: StopOrder, entry_id: str) -> None:
-        if not self._leases.observe_epoch(
-            message.shard, message.reign, entry_id
-        ):
+    def _handle_stop(self, order: StopOrder, entry_id: str) -> None:
+        if not self._leases.observe_epoch(order.shard, order.reign, entry_id):
             return
-        attempt = self.table.by_task.get(message.task)
-        if attempt is not None and attempt.number <= message.attempt:
+        attempt = self.table.by_task.get(order.task)
+        if attempt is not None and attempt.number <= order.attempt:
             self._orders.stop(attempt)
         else:
-            self.table.close(message.task, message.attempt)
+            self.table.close(order.task, order.attempt)
 
     def _refusal_reason(self, order: StartOrder, entry_id: str) -> str:
         """Return why a start order is refused; empty if it is accepted."""
@@ -272,8 +270,8 @@
         )
 
     def _incarnation_changed(self, listing: Listing) -> None:
-        now = self._clock.now()
-        self._incarnation_found_at = now
+        now_ms = self._clock.now()
+        self._incarnation_found_at = now_ms
         self._ends = EndTable(self._ends)
         former_attempts = [
             *self.table.by_task.values(),
@@ -286,12 +284,12 @@
                 if not listing.names(attempt.task, attempt.number)
             ]
             self._ends.add_crashes(
-                self.monitor.past_incarnation, lost_attempts, now
+                self.monitor.past_incarnation, lost_attempts, now_ms
             )
         self._expired_attempts = []
         self.table.clear()
         # A start sent to the previous incarnation may have reached this one.
-        self.table.carry_over(former_attempts, listing, now)
+        self.table.carry_over(former_attempts, listing, now_ms)
         self.monitor.durable_up_to = self._ends.durable_up_to
         self._schedule_report()
 
@@ -313,15 +311,15 @@
             return 0
         return self._leases.latest_expiry
 
-    def _awaits_grants(self, now: float) -> bool:
-        if now - self._incarnation_found_at > _GRANT_WAIT_MS:
+    def _awaits_grants(self, now_ms: float) -> bool:
+        if now_ms - self._incarnation_found_at > _GRANT_WAIT_MS:
             return False
         return any(
-            self._leases.expiry_of(attempt.shard) <= now
+            self._leases.expiry_of(attempt.shard) <= now_ms
             for attempt in self.table.by_task.values()
         )
 
-    def _stop_ungranted(self, now: float) -> None:
+    def _stop_ungranted(self, now_ms: float) -> None:
         """Stop attempts whose own shard has no valid grant.
 
         Another owner's grant would keep them alive, although their owner's
@@ -329,11 +327,11 @@
         the hold expires by itself.
         """
         for attempt in list(self.table.by_task.values()):
-            if self._leases.expiry_of(attempt.shard) <= now:
+            if self._leases.expiry_of(attempt.shard) <= now_ms:
                 self._orders.stop(attempt)
 
     def _listing_received(self, listing: Listing, sent_at: float) -> None:
-        now = self._clock.now()
+        now_ms = self._clock.now()
         self._expired_attempts = []
         has_changed = False
         for end in listing.ends:
@@ -346,7 +344,7 @@
             listed_tasks.add(row.task)
             if row.task not in self.table.by_task:
                 has_changed = True
-            self.table.listed(row, now)
+            self.table.listed(row, now_ms)
         if listing.is_complete:
             # A row that could not be parsed may belong to any attempt. An
             # attempt dropped by mistake would start again while it runs.
@@ -368,10 +366,10 @@
                 self._report(entry_id)
 
     def _report(self, entry_id: str) -> None:
-        now = self._clock.now()
+        now_ms = self._clock.now()
         self._sequence += 1
-        self._reported_at_by_entry[entry_id] = now
-        self._leases.note_report_sent(self._sequence, now)
+        self._reported_at_by_entry[entry_id] = now_ms
+        self._leases.note_report_sent(self._sequence, now_ms)
         shard_epochs = self._leases.epochs_of(entry_id)
         own_shards = {owned.shard for owned in shard_epochs}
         attempts = self.table.by_task.values()
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -90,7 +90,7 @@
         cpu = 0 if facts.fills else facts.cpu_millis
         return Size(cpu, facts.memory_mb, facts.accelerators)
 
-    def update(self, row: WorkerRow, now: float) -> None:
+    def update(self, row: WorkerRow, now_ms: float) -> None:
         """Apply a listed row."""
         self.checkpoint = row.checkpoint
         self.percent = row.percent
@@ -98,14 +98,14 @@
         if self.phase is Phase.STARTING:
             self.phase = Phase.RUNNING
         if self.confirmed_at is None:
-            self.confirmed_at = now
+            self.confirmed_at = now_ms
 
-    def carried_over(self, now: float) -> 'Attempt':
+    def carried_over(self, now_ms: float) -> 'Attempt':
         """Return the attempt as it runs on another incarnation."""
         return replace(
             self,
             phase=Phase.RUNNING,
-            ordered_at=now,
+            ordered_at=now_ms,
             pace=UNKNOWN_PACE,
             stop_accepted_at=None,
             is_stop_in_flight=False,
@@ -139,7 +139,7 @@
         """Count an attempt against the worker's resources from now on."""
         self.by_task[attempt.task] = attempt
 
-    def listed(self, row: WorkerRow, now: float) -> Attempt:
+    def listed(self, row: WorkerRow, now_ms: float) -> Attempt:
         """Update the attempt of a listed row, adding it if it is unknown."""
         known = self.by_task.get(row.task)
         if known is None or known.number < row.attempt:
@@ -148,25 +148,25 @@
                 row.attempt,
                 shard_of_task(row.task),
                 Phase.RUNNING,
-                now,
+                now_ms,
                 pace=UNKNOWN_PACE,
             )
             self.add(known)
         if known.number == row.attempt:
-            known.update(row, now)
+            known.update(row, now_ms)
         return known
 
     def carry_over(
         self,
         attempts: Iterable[Attempt],
         listing: Listing,
-        now: float,
+        now_ms: float,
     ) -> None:
         """Keep attempts that another incarnation lists as running."""
         listed = {(row.task, row.attempt) for row in listing.rows}
         for attempt in attempts:
             if (attempt.task, attempt.number) in listed:
-                self.add(attempt.carried_over(now))
+                self.add(attempt.carried_over(now_ms))
 
     def remove(self, task: str, number: int) -> None:
         """Drop an attempt, and close it against another start."""
--- a/hyssopring/jobs/discovery.py
+++ b/hyssopring/jobs/discovery.py
@@ -50,11 +50,11 @@
 
     def tick(self) -> None:
         """Read the store if needed; call a few times a second."""
-        now = self._clock.now()
+        now_ms = self._clock.now()
         if self._dialler.connected:
-            self._next_read_at = now + _NO_ENTRY_MS
-        elif now >= self._next_read_at:
-            self._next_read_at = now + self._rng.uniform(1, 2) * _RETRY_MS
+            self._next_read_at = now_ms + _NO_ENTRY_MS
+        elif now_ms >= self._next_read_at:
+            self._next_read_at = now_ms + self._rng.uniform(1, 2) * _RETRY_MS
             reading = self._store.read(ENTRIES_TABLE, '')
             reading.addCallback(self._add_addresses)
             reading.addErrback(_ignore_store_error)
--- a/hyssopring/jobs/stall_detector.py
+++ b/hyssopring/jobs/stall_detector.py
@@ -33,13 +33,13 @@
 
     def record_tick(self) -> bool:
         """Record a tick; return whether timeouts of peers are meaningful."""
-        now = self._clock.now()
-        is_late = now - self._last_tick_at > _MAX_GAP_MS
+        now_ms = self._clock.now()
+        is_late = now_ms - self._last_tick_at > _MAX_GAP_MS
         if is_late:
             if self._stalled_since is None:
-                self._stalled_since = now
+                self._stalled_since = now_ms
             self._catch_up_ticks_left = _CATCH_UP_TICKS
-        self._last_tick_at = now
+        self._last_tick_at = now_ms
         if self._stalled_since is None:
             return True
         if is_late:
@@ -47,7 +47,7 @@
         self._catch_up_ticks_left -= 1
         if (
             self._catch_up_ticks_left
-            and now - self._stalled_since < _MAX_STALLED_MS
+            and now_ms - self._stalled_since < _MAX_STALLED_MS
         ):
             return False
         self._stalled_since = None
--- a/hyssopring/jobs/store_clock.py
+++ b/hyssopring/jobs/store_clock.py
@@ -38,10 +38,10 @@
         self._sent_at = sent_at
         self._received_at = self._clock.now()
 
-    def latest_reading(self, at: float) -> float:
-        """Return an upper bound of the store's clock at ``at``."""
+    def latest_reading(self, time_ms: float) -> float:
+        """Return an upper bound of the store's clock at ``time_ms``."""
         assert self._reading_ms is not None, 'a reading is known'
-        return self._reading_ms + max(0, at - self._sent_at) * _MAX_RATE
+        return self._reading_ms + max(0, time_ms - self._sent_at) * _MAX_RATE
 
     def passed_at(self, reading_ms: float) -> float:
         """Return a time by which the store's clock has passed a reading."""
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -158,14 +158,14 @@
         if boot == self.boot:
             self.announced.withdraw()
 
-    def to_worker_clock(self, at: float) -> int:
-        """Return a time on the worker's clock not later than ``at``.
+    def to_worker_clock(self, time_ms: float) -> int:
+        """Return a time on the worker's clock not later than ``time_ms``.
 
         The worker's clock may run slow, and a deadline that is set by it must
-        not pass after ``at`` on this process's clock.
+        not pass after ``time_ms`` on this process's clock.
         """
-        millis = (at - self._answered_at) * (1 - CLOCK_DRIFT)
-        return int(self._worker_clock_ms + millis)
+        elapsed_ms = (time_ms - self._answered_at) * (1 - CLOCK_DRIFT)
+        return int(self._worker_clock_ms + elapsed_ms)
 
     def extend_hold(self) -> float:
         """Return the time up to which to extend the hold now, and record it.
@@ -175,8 +175,8 @@
         """
         if self.silent_ms > _SILENT_MS:
             return self._hold_until
-        now = self._clock.now()
-        until = min(self.hold_limit(), now + HOLD_MS)
+        now_ms = self._clock.now()
+        until = min(self.hold_limit(), now_ms + HOLD_MS)
         self._hold_until = max(self._hold_until, until)
         return until
 
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -90,12 +90,12 @@
             )
         return requested_millis
 
-    def slow_ms(self, now: float) -> float:
+    def slow_ms(self, now_ms: float) -> float:
         """Return for how many milliseconds its pace has been low."""
-        return 0 if self.slow_since is None else now - self.slow_since
+        return 0 if self.slow_since is None else now_ms - self.slow_since
 
     def update(
-        self, reported: AttemptReport, now: float, silent_ms: float
+        self, reported: AttemptReport, now_ms: float, silent_ms: float
     ) -> None:
         """Apply the attempt's part of a report.
 
@@ -104,12 +104,12 @@
         """
         self.reports += 1
         if self.observed_since is None:
-            self.observed_since = now
-        self.observed_ms = now - silent_ms - self.observed_since
+            self.observed_since = now_ms
+        self.observed_ms = now_ms - silent_ms - self.observed_since
         if reported.pace >= _SLOW_PACE:
             self.slow_since = None
         elif self.slow_since is None:
-            self.slow_since = now
+            self.slow_since = now_ms
         self.percent = reported.percent
         self.load = reported.load
         self.pace = reported.pace
@@ -221,9 +221,9 @@
             return False
         return self.is_connected and report.silent_ms < _SILENT_MS
 
-    def is_lost(self, now: float) -> bool:
+    def is_lost(self, now_ms: float) -> bool:
         """Return whether no attempt placed there can still be running."""
-        return now - self.granted_at > GRANT_EXPIRY_MS
+        return now_ms - self.granted_at > GRANT_EXPIRY_MS
 
     @property
     def silent_since(self) -> float | None:
