--- a/standins/jobs/advice.py
+++ b/standins/jobs/advice.py
@@ -29,7 +29,7 @@
         late_s: Additional delay of its answers.
         names_former: It also approves the former incarnation of each worker.
         voids: Tickets are expired when they are issued.
-        questions: All accepted queries, as (time, asker, query).
+        questions: All accepted queries, as (time, caller, query).
     """
 
     def __init__(self, reactor, decision_ms=50, per_worker_ms=5, valid_ms=3000):
@@ -63,48 +63,48 @@
         )
         return False
 
-    def take(self, asker, question, answer):
+    def take(self, caller, query, answer):
         """Accept or reject a query."""
         now = self.reactor.seconds()
-        if self.refuses or len(self._waiting[asker]) >= MAX_WAITING:
-            self.refused.append((now, asker, question))
+        if self.refuses or len(self._waiting[caller]) >= MAX_WAITING:
+            self.refused.append((now, caller, query))
             answer(self.refuses or 429, None)
             return
-        self.questions.append((now, asker, question))
-        self._waiting[asker].append((question, answer))
-        at_once = len(self._waiting[asker]) + (asker in self._busy)
+        self.questions.append((now, caller, query))
+        self._waiting[caller].append((query, answer))
+        at_once = len(self._waiting[caller]) + (caller in self._busy)
         self.most_at_once = max(self.most_at_once, at_once)
-        self._next(asker)
+        self._next(caller)
 
-    def _next(self, asker):
-        if asker in self._busy or not self._waiting[asker]:
+    def _next(self, caller):
+        if caller in self._busy or not self._waiting[caller]:
             return
-        self._busy.add(asker)
-        question, answer = self._waiting[asker].popleft()
-        took_ms = self.decision_ms + self.per_worker_ms * len(question.boots)
+        self._busy.add(caller)
+        query, answer = self._waiting[caller].popleft()
+        took_ms = self.decision_ms + self.per_worker_ms * len(query.boots)
         self.reactor.callLater(
             took_ms / MILLIS + self.late_s,
             self._decide,
-            asker,
-            question,
+            caller,
+            query,
             answer,
         )
 
-    def _decide(self, asker, question, answer):
-        self._busy.discard(asker)
+    def _decide(self, caller, query, answer):
+        self._busy.discard(caller)
         if not self.is_silent:
-            answer(200, self._advised(question))
-        self._next(asker)
+            answer(200, self._advised(query))
+        self._next(caller)
 
-    def _advised(self, question):
+    def _advised(self, query):
         tickets = {}
-        for boot in question.boots:
-            worker, _dash, life = boot.rpartition('-')
-            if self.allows(question.step, worker):
-                tickets[boot] = self._ticket(question.step, boot)
+        for boot in query.boots:
+            worker, _dash, number = boot.rpartition('-')
+            if self.allows(query.step, worker):
+                tickets[boot] = self._ticket(query.step, boot)
                 if self.names_former:
-                    former = f'{worker}-{int(life) - 1}'
-                    tickets[former] = self._ticket(question.step, former)
+                    former = f'{worker}-{int(number) - 1}'
+                    tickets[former] = self._ticket(query.step, former)
         return AdviceAnswer(tickets, self.valid_ms)
 
     def _ticket(self, step, boot):
@@ -117,21 +117,21 @@
 class AdviceLink:
     """One machine's queries; a dead or frozen process gets no answer."""
 
-    def __init__(self, service, asker, process_reactor):
+    def __init__(self, service, caller, process_reactor):
         self.service = service
-        self.asker = asker
+        self.caller = caller
         self.process_reactor = process_reactor
 
-    def ask(self, question):
+    def ask(self, query):
         result = Deferred()
         later = self.service.reactor.callLater
-        limit_ms = PATIENCE * question.expected_ms + TIMEOUT_MS
+        limit_ms = PATIENCE * query.expected_ms + TIMEOUT_MS
         limit = later(limit_ms / MILLIS, self._time_out, result)
 
         def answered(status, advised):
             later(LINK_S, self._deliver, result, limit, status, advised)
 
-        later(LINK_S, self.service.take, self.asker, question, answered)
+        later(LINK_S, self.service.take, self.caller, query, answered)
         return result
 
     def _deliver(self, result, limit, status, advised):
--- a/standins/jobs/lost_vms.py
+++ b/standins/jobs/lost_vms.py
@@ -34,9 +34,9 @@
     def check(self):
         """Check which VMs are lost; call several times a second."""
         now = self._deployment.reactor.seconds()
-        reign = self._find_owned_shard()
-        if reign is not self._owned_shard:
-            self._owned_shard, self._owned_since = reign, now
+        owned_shard = self._find_owned_shard()
+        if owned_shard is not self._owned_shard:
+            self._owned_shard, self._owned_since = owned_shard, now
         for agent in self._deployment.agents.values():
             name = agent.worker.name
             if not is_away(agent):
@@ -45,7 +45,7 @@
                 continue
             lost_at = self.lost_at.setdefault(name, now)
             noticed_at = max(lost_at, self._owned_since)
-            if reign is not None and now - noticed_at >= NOTICED_S:
+            if owned_shard is not None and now - noticed_at >= NOTICED_S:
                 self._noticed_at.setdefault(name, noticed_at)
 
     def safe_at(self, name):
--- a/standins/jobs/shared_worker.py
+++ b/standins/jobs/shared_worker.py
@@ -13,15 +13,15 @@
 
 # Times of the platform: measurements cover 500 ms, a pace takes effect after
 # 100 ms, and a keeper serves requests 500 ms after its start.
-FIGURE_S = 0.5
-PACE_S = 0.1
+MEASUREMENT_S = 0.5
+PACE_DELAY_S = 0.1
 KEEPER_START_S = 0.5
 FULL_PACE = 100
 MILLIS = 1000
 
 
 @dataclass
-class Shared:
+class SharedRun:
     """A run that shares its worker's processors.
 
     Attributes:
@@ -31,9 +31,9 @@
         cores: The cores that it uses now.
         tail_ms: A keeper's tail latency now.
         alone_ms: That tail latency without any best-effort task.
-        sum_of_figure: Sum of the current measurement: thousandths of a core
+        measured_sum: Sum of the current measurement: thousandths of a core
             times seconds, or for a keeper with a target ms times seconds.
-        figure: The last complete measurement.
+        measurement: The last complete measurement.
     """
 
     step: Step
@@ -46,8 +46,8 @@
     cores: float = 0
     tail_ms: float = 0
     alone_ms: float = 0
-    sum_of_figure: float = 0
-    figure: int = 0
+    measured_sum: float = 0
+    measurement: int = 0
 
     def is_at_work(self, now):
         return now - self.begun_at >= KEEPER_START_S
@@ -76,16 +76,16 @@
         self.interference = interference
         self.site = site
         self.used_core_s = 0
-        self._shared = {}
+        self._shared_by_task = {}
         self._pending_polls = []
         self._settled_at = reactor.seconds()
-        self._figure_at = reactor.seconds()
+        self._measured_at = reactor.seconds()
         self._random = random.Random(f'worker {name}')
         super().__init__(reactor, name, book, lambda _task: math.inf, room)
 
     def begin(self):
         super().begin()
-        self._shared = {}
+        self._shared_by_task = {}
 
     def poll(self, request):
         """Answer a poll when a task has ended, or after its wait time."""
@@ -103,7 +103,7 @@
         self._settled_at = now
         if elapsed_s > 0:
             self._work(now, elapsed_s)
-            if now - self._figure_at >= FIGURE_S:
+            if now - self._measured_at >= MEASUREMENT_S:
                 self._complete_measurements(now)
         super().settle()
         self._answer_polls(now)
@@ -112,15 +112,17 @@
         return self._order(boot, lambda: self._pace(task, attempt, percent))
 
     def _pace(self, task, attempt, percent):
-        shared = self._shared.get(task)
+        shared = self._shared_by_task.get(task)
         if shared is not None and shared.number == attempt:
-            self.reactor.callLater(PACE_S, setattr, shared, 'pace', percent)
+            self.reactor.callLater(
+                PACE_DELAY_S, setattr, shared, 'pace', percent
+            )
 
     def _work(self, now, elapsed_s):
         self._share_cores(now)
         use = Counter()
         for task, run in list(self.runs.items()):
-            shared = self._shared[task]
+            shared = self._shared_by_task[task]
             if run.stops_at is not None:
                 shared.cores = 0
             if shared.step.fills:
@@ -130,13 +132,13 @@
             if shared.done >= shared.work:
                 run.ends_at = now
         for task in self.runs:
-            self._measure(self._shared[task], use, now, elapsed_s)
+            self._measure(self._shared_by_task[task], use, now, elapsed_s)
 
     def _share_cores(self, now):
         """Divide the remaining cores among best-effort tasks by request."""
         left = self.room.cpu_millis / MILLIS
         asked = 0
-        for shared in self._shared.values():
+        for shared in self._shared_by_task.values():
             cores = shared.step.size.cpu_millis / MILLIS * shared.appetite
             if shared.step.fills:
                 asked += cores * shared.pace / FULL_PACE
@@ -147,21 +149,21 @@
                 shared.cores *= load.at(now)
             left -= shared.cores
         part = min(1, max(0, left) / asked) if asked else 0
-        for shared in self._shared.values():
+        for shared in self._shared_by_task.values():
             if shared.step.fills:
                 cores = shared.step.size.cpu_millis / MILLIS * shared.appetite
                 shared.cores = cores * shared.pace / FULL_PACE * part
 
     def _measure(self, shared, use, now, elapsed_s):
         if not shared.step.target_ms:
-            shared.sum_of_figure += shared.cores * elapsed_s * MILLIS
+            shared.measured_sum += shared.cores * elapsed_s * MILLIS
             return
         if not shared.is_at_work(now):
             return
         image, target = shared.step.image, shared.step.target_ms
         shared.tail_ms = self.interference.tail_ms(image, use, now)
         shared.alone_ms = self.interference.tail_ms(image, {}, now)
-        shared.sum_of_figure += shared.tail_ms * elapsed_s
+        shared.measured_sum += shared.tail_ms * elapsed_s
         times = self.site.times
         times.at_work += elapsed_s
         if shared.tail_ms > target:
@@ -170,14 +172,14 @@
                 times.harmed += elapsed_s
 
     def _complete_measurements(self, now):
-        elapsed_s = now - self._figure_at
-        self._figure_at = now
-        for shared in self._shared.values():
-            figure = shared.sum_of_figure / elapsed_s
+        elapsed_s = now - self._measured_at
+        self._measured_at = now
+        for shared in self._shared_by_task.values():
+            measurement = shared.measured_sum / elapsed_s
             if shared.step.target_ms:
-                figure *= self._random.gauss(1, self.interference.noise)
-            shared.figure = max(0, round(figure))
-            shared.sum_of_figure = 0
+                measurement *= self._random.gauss(1, self.interference.noise)
+            shared.measurement = max(0, round(measurement))
+            shared.measured_sum = 0
 
     def _answer_polls(self, now):
         polls, self._pending_polls = self._pending_polls, []
@@ -200,7 +202,7 @@
         return Listing(listing.clock_ms, rows, listing.ends)
 
     def _row(self, row):
-        shared = self._shared[row.task]
+        shared = self._shared_by_task[row.task]
         percent = FULL_PACE
         if not shared.step.is_keeper:
             percent = int(FULL_PACE * shared.done / shared.work)
@@ -209,7 +211,7 @@
             row.attempt,
             self._checkpoint(shared),
             min(FULL_PACE, percent),
-            shared.figure,
+            shared.measurement,
         )
 
     @staticmethod
@@ -219,7 +221,10 @@
 
     def _start(self, start):
         outcome = super()._start(start)
-        if outcome is not StartOutcome.STARTED or start.task in self._shared:
+        if (
+            outcome is not StartOutcome.STARTED
+            or start.task in self._shared_by_task
+        ):
             return outcome
         step = self.site.step_of(start.task)
         work, appetite = math.inf, 1
@@ -227,7 +232,7 @@
             appetite = self.site.appetite(start.task) if step.fills else 1
             cores = step.size.cpu_millis / MILLIS * appetite
             work = self.site.work_s(start.task) * cores
-        self._shared[start.task] = Shared(
+        self._shared_by_task[start.task] = SharedRun(
             step,
             start.attempt,
             self.reactor.seconds(),
@@ -238,13 +243,13 @@
         return outcome
 
     def end(self, run, how):
-        shared = self._shared.pop(run.task)
+        shared = self._shared_by_task.pop(run.task)
         run.checkpoint = self._checkpoint(shared)
         super().end(run, how)
 
     def _check_room(self):
         used = Size()
-        for shared in self._shared.values():
+        for shared in self._shared_by_task.values():
             used = used.plus(shared.step.reserved_size)
         if not used.fits_in(self.room):
             self.book.broken.append(f'{self.name} is over its room: {used}')
--- a/standins/jobs/stillness.py
+++ b/standins/jobs/stillness.py
@@ -53,8 +53,8 @@
 
     def _live(self):
         deployment = self._deployment
-        everyone = [*deployment.entries.values(), *deployment.agents.values()]
-        return [each for each in everyone if each.is_alive]
+        processes = [*deployment.entries.values(), *deployment.agents.values()]
+        return [each for each in processes if each.is_alive]
 
     def _processes(self):
         """Return a state that changes when any process ends or starts."""
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -169,14 +169,14 @@
     sent = []
     agent.core._send = lambda entry_id, message: sent.append(message)
     owner = deployment.entries[deployment.owner].core
-    reign = owner.owner.shards.by_shard[0].epoch
+    epoch = owner.owner.shards.by_shard[0].epoch
     connection = owner.fleet.by_agent['agent-0'].connection
     for index in range(3):
         task = f'{1:016x}.0.0.{index}'
         facts = TaskFacts(task, 1, 6000, 1000, 0, 0, False, '')
         deployment.book.sizes[f'{1:016x}'] = Size(6000, 1000, 0)
         order = StartOrder(
-            0, reign, agent.worker.boot, 'x', '', facts, connection
+            0, epoch, agent.worker.boot, 'x', '', facts, connection
         )
         agent.core.take(order, deployment.owner)
     refusals = [
--- a/tests/test_lost_vms.py
+++ b/tests/test_lost_vms.py
@@ -14,7 +14,7 @@
 class Scene:
     """A VM that is lost after 10 s, and a shard with or without an owner."""
 
-    def __init__(self, reign=1):
+    def __init__(self, epoch=1):
         self.now = 0
         self.shards = {}
         self.reactor = SimpleNamespace(seconds=lambda: self.now)
@@ -26,15 +26,15 @@
         self.agent = SimpleNamespace(is_alive=True, worker=worker)
         self.agents = {'agent': self.agent}
         self.vms = LostVms(self, self.stillness)
-        self.own(reign)
+        self.own(epoch)
         self.until(LOST_AT)
         self.agent.is_alive = False
 
-    def own(self, reign):
+    def own(self, epoch):
         """Set the epoch of the shard's owner, None for no owner."""
         self.shards.clear()
-        if reign:
-            self.shards[0] = SimpleNamespace(epoch=reign)
+        if epoch:
+            self.shards[0] = SimpleNamespace(epoch=epoch)
 
     def until(self, seconds):
         """Check several times a second until then."""
@@ -63,9 +63,9 @@
 def test_the_wait_counts_from_the_loss_however_many_owners_follow():
     """Guards against a wait that each takeover restarts."""
     scene = Scene()
-    for reign in (2, 3, 4):
+    for epoch in (2, 3, 4):
         scene.until(scene.now + 4)
-        scene.own(reign)
+        scene.own(epoch)
     scene.until(30)
     assert scene.over_after() == pytest.approx(GRANT_OVER_S)
 
@@ -82,7 +82,7 @@
 
 def test_a_loss_that_no_owner_sees_counts_from_the_next_reign():
     """All processes are lost, so that no owner can count from the loss."""
-    scene = Scene(reign=None)
+    scene = Scene(epoch=None)
     scene.until(16)
     assert scene.over_after() == float('inf')
     scene.own(1)
