--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -10,10 +10,11 @@
 from typing import Any, Callable, Final
 
 from hyssopring.clock import Clock
+from hyssopring.jobs.agent_leases import AgentLeases
+from hyssopring.jobs.agent_shutdown import AgentShutdown
 from hyssopring.jobs.attempts import Attempt, AttemptTable, Phase
 from hyssopring.jobs.end_table import EndTable
 from hyssopring.jobs.fences import FenceCounter
-from hyssopring.jobs.agent_shutdown import AgentShutdown
 from hyssopring.jobs.messages import (
     RUNNING_HERE,
     EndsRecorded,
@@ -29,9 +30,8 @@
 from hyssopring.jobs.model import Size
 from hyssopring.jobs.orders import WorkerOrders
 from hyssopring.jobs.pacing import Pacer
-from hyssopring.jobs.agent_leases import AgentLeases
-from hyssopring.jobs.shards import shard_of_task
 from hyssopring.jobs.received_starts import ReceivedStarts
+from hyssopring.jobs.shards import shard_of_task
 from hyssopring.jobs.worker_monitor import WorkerMonitor
 from hyssopring.jobs.worker_port import Listing, WorkerPort
 from hyssopring.logs import Event, log_event
--- a/hyssopring/jobs/orders.py
+++ b/hyssopring/jobs/orders.py
@@ -9,8 +9,8 @@
 from hyssopring.jobs.messages import StartOrder
 from hyssopring.jobs.worker_monitor import WorkerMonitor
 from hyssopring.jobs.worker_port import (
-    StartRequest,
     StartOutcome,
+    StartRequest,
     WorkerFenced,
     WorkerPort,
     WorkerReplaced,
--- a/hyssopring/jobs/peer_requests.py
+++ b/hyssopring/jobs/peer_requests.py
@@ -7,7 +7,7 @@
 
 from hyssopring.jobs.messages import JobsMessage
 
-__all__ = ('PeerTransport', 'PeerRequests')
+__all__ = ('PeerRequests', 'PeerTransport')
 
 # Round trips between entries take about a millisecond. After this timeout the
 # store is read instead.
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -13,10 +13,10 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.announced_state import AnnouncedState
 from hyssopring.jobs.fences import FenceCounter
+from hyssopring.jobs.past_incarnation import PastIncarnation
 from hyssopring.jobs.poll_backoff import MAX_TIMEOUT_MS, PollBackoff
 from hyssopring.jobs.stall_detector import StallDetector
 from hyssopring.jobs.times import CLOCK_DRIFT, HOLD_MS, LONGEST_HOLD_MS
-from hyssopring.jobs.past_incarnation import PastIncarnation
 from hyssopring.jobs.worker_port import (
     Announcement,
     Listing,
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -8,7 +8,7 @@
 
 from hyssopring.jobs.messages import AttemptReport, WorkerReport
 from hyssopring.jobs.model import Size, Step, TaskName
-from hyssopring.jobs.times import HOLD_EXPIRY_MS, GRANT_EXPIRY_MS
+from hyssopring.jobs.times import GRANT_EXPIRY_MS, HOLD_EXPIRY_MS
 
 __all__ = ('PlacedAttempt', 'Worker')
 
--- a/standins/jobs/advice.py
+++ b/standins/jobs/advice.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.defer import Deferred
 
-from hyssopring.jobs.advice_client import AdviceUnavailable, AdviceAnswer
+from hyssopring.jobs.advice_client import AdviceAnswer, AdviceUnavailable
 
 LINK_S = 0.001
 MAX_WAITING = 32
--- a/standins/jobs/deployment.py
+++ b/standins/jobs/deployment.py
@@ -8,9 +8,9 @@
 from hyssopring.jobs.messages import pack, unpack
 from hyssopring.jobs.model import Job, Queue, Size, Step
 from standins.jobs.advice import SimAdvice
+from standins.jobs.book import Book
 from standins.jobs.processes import Agent, Entry
 from standins.jobs.rows import MemoryRows
-from standins.jobs.book import Book
 from standins.jobs.worker import SimWorker
 
 LINK_S = 0.001
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -4,8 +4,8 @@
 
 from hyssopring.clock import MILLIS_PER_SECOND
 from hyssopring.jobs.agent_core import JobAgentCore
-from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.entry_core import JobEntryCore
+from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.relay import RelayedStore
 from hyssopring.jobs.times import RENEW_MS
 from hyssopring.platform.reports import ReportsResource
