--- a/bench/placement_fakes.py
+++ b/bench/placement_fakes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from hyssopring.agent.backends import AnnouncedBackend
-from hyssopring.agent.worker import StopAnswer, WorkerListing, WorkerTask
+from hyssopring.agent.worker import StopResponse, WorkerListing, WorkerTask
 from hyssopring.protocol.messages import Resources
 from hyssopring.tasks import TaskPhase
 
@@ -77,7 +77,7 @@
         self.is_paused = False
         agent.worker = self
         agent.core.tasks._worker = self
-        agent.core.tasks._runs._worker = self
+        agent.core.tasks._tracker._worker = self
         self.backend = AnnouncedBackend(
             f'{agent.name}-backend', service, '', SLOTS, 64
         )
@@ -105,7 +105,7 @@
         if phase == 'running':
             phase = 'stopped'
         checkpoint = str(task.done_ms) if task else ''
-        self.loop.later(200, done, StopAnswer(TaskPhase(phase), checkpoint))
+        self.loop.later(200, done, StopResponse(TaskPhase(phase), checkpoint))
 
     def throttle(self, task_id, share):
         if task_id in self.task_by_id:
--- a/hyssopring/agent/__init__.py
+++ b/hyssopring/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: one per VM, between the entries and what runs on the VM."""
+"""The agent process: one per VM, between entries and the local processes."""
--- a/hyssopring/agent/admission.py
+++ b/hyssopring/agent/admission.py
@@ -1,9 +1,9 @@
-"""Which starts an agent may take, but for room: that is the ledger's."""
+"""Admission of starts by lease, epoch, worker boot and attempt."""
 
 from collections import OrderedDict
 
+from hyssopring.agent.attempt_tracker import CHECKPOINT_LEAD_MS
 from hyssopring.agent.attempts import Attempt
-from hyssopring.agent.runs import CHECKPOINT_LEAD_MS
 from hyssopring.clock import Clock
 from hyssopring.leases import ShardLeases
 from hyssopring.protocol.messages import StartTask
@@ -11,46 +11,60 @@
 
 __all__ = ('Admission',)
 
+# Tasks whose newest attempt is remembered.
 _REMEMBERED_ATTEMPTS = 10_000
 
 
 class Admission:
-    """Fences starts by lease, epoch, worker boot and attempt."""
+    """Fences starts; capacity is checked by the ledger."""
 
     def __init__(self, clock: Clock, leases: ShardLeases) -> None:
-        """Remember no attempt so far."""
+        """Remember no attempt so far.
+
+        Args:
+            clock: The VM's clock, in milliseconds.
+            leases: The shard leases that planners granted.
+        """
         self._clock = clock
         self._leases = leases
         self._newest_by_task: OrderedDict[str, int] = OrderedDict()
 
-    def refusal(
+    def refusal_reason(
         self,
         command: StartTask,
         known: Attempt | None,
         boot: str,
     ) -> str:
-        """Return why a start must not be taken; empty if it may be."""
+        """Return why a start is refused; empty if it is accepted.
+
+        Args:
+            command: The start.
+            known: The latest attempt of the same task, None if there is none.
+            boot: The worker's current boot id.
+        """
         if command.worker_boot != boot:
             return 'the worker was replaced'
         if known is not None and not known.is_final:
-            return 'an earlier attempt is still here'
+            return 'an earlier attempt has not ended'
         if command.attempt <= self._newest_by_task.get(command.task_id, 0):
-            return 'this attempt was here before'
-        return self.lapse(command)
+            return 'this attempt was received before'
+        return self.lapse_reason(command)
 
-    def lapse(self, command: StartTask) -> str:
+    def lapse_reason(self, command: StartTask) -> str:
         """Return why no current lease covers a start; empty if one does."""
         if not self._leases.accepts(command.shard, command.epoch):
             return f'epoch {command.epoch} is not current'
         kind = TaskKind(command.kind)
-        left = self._leases.until(command.shard, kind) - self._clock.now()
-        return '' if left > CHECKPOINT_LEAD_MS else 'no lease'
+        remaining_ms = (
+            self._leases.until(command.shard, kind) - self._clock.now()
+        )
+        return '' if remaining_ms > CHECKPOINT_LEAD_MS else 'no lease'
 
-    def note(self, command: StartTask) -> None:
-        """Remember that an attempt came here.
+    def record_attempt(self, command: StartTask) -> None:
+        """Remember that an attempt was received.
 
-        A copy of its start that arrives once it has ended, or once it was
-        refused and its planner went elsewhere, must start nothing.
+        A late copy of its start must start nothing: the attempt may have
+        ended, or its planner may have chosen another VM after a refusal.
         """
         known = self._newest_by_task.pop(command.task_id, 0)
         self._newest_by_task[command.task_id] = max(known, command.attempt)
--- a/hyssopring/agent/announce.py
+++ b/hyssopring/agent/announce.py
@@ -1,4 +1,4 @@
-"""The loopback port where backend servers announce themselves."""
+"""The loopback HTTP port where backend servers announce themselves."""
 
 import json
 from typing import Annotated
@@ -40,12 +40,16 @@
 
 
 class AnnounceResource(Resource):
-    """Takes ``POST /announce``; also serves ``/metrics`` and ``/healthz``."""
+    """Serves ``POST /announce``, ``GET /metrics`` and ``GET /healthz``.
+
+    Attributes:
+        is_ready: False once the agent shuts down.
+    """
 
     isLeaf = True
 
     def __init__(self, core: AgentCore) -> None:
-        """Give announcements to the core."""
+        """Pass announcements to the core."""
         super().__init__()
         self._core = core
         self.is_ready = True
@@ -60,7 +64,7 @@
         return b'not found\n'
 
     def render_POST(self, request: Request) -> bytes:
-        """Take or renew one announcement."""
+        """Handle one announcement of a backend server."""
         parsed = parse_document(request.content.read(), _Announcement)
         if parsed.is_err():
             request.setResponseCode(_BAD_REQUEST)
--- a/hyssopring/agent/attempts.py
+++ b/hyssopring/agent/attempts.py
@@ -11,16 +11,18 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """What the agent knows of an attempt.
+    """The agent's state of an attempt.
 
     Attributes:
-        until: The latest deadline that the worker may have heard of; 0 until
+        deadline: The latest deadline that the worker may have received, in
+            milliseconds of the VM's clock; 0 until
             the start was sent.
-        since: When the worker's answer to the start came; a listing that was
-            asked for earlier says nothing about this attempt.
-        is_in_doubt: The answer to the start was lost; it may run or not, or
-            begin to run until its deadline.
-        stop_mode: Asked to stop, until it has.
+        start_returned_at: When the start call returned; a listing that was
+            requested earlier may not include this attempt.
+        is_unconfirmed: The response to the start was lost; the attempt may
+            run, or begin to run until its deadline.
+        stop_mode: How it was asked to stop; None if it was not.
+        ticks_since_end: Ticks for which its end was not acknowledged.
     """
 
     command: StartTask
@@ -29,17 +31,17 @@
     detail: str = ''
     share: float = 1
     used: Resources = Resources()
-    until: float = 0
-    since: float = 0
-    is_in_doubt: bool = False
+    deadline: float = 0
+    start_returned_at: float = 0
+    is_unconfirmed: bool = False
     stop_mode: StopMode | None = None
-    stop_why: str = ''
+    stop_reason: str = ''
     reported_checkpoint: str = ''
-    ticks_told: int = 0
+    ticks_since_end: int = 0
 
     @classmethod
     def from_listed(cls, listed: WorkerTask) -> 'Attempt':
-        """Adopt what an earlier run of the agent has started."""
+        """Build an attempt that an earlier run of the agent started."""
         command = listed.command
         return cls(
             command,
@@ -47,31 +49,31 @@
             listed.checkpoint or command.checkpoint,
             share=listed.share,
             used=listed.used,
-            until=listed.until,
+            deadline=listed.deadline,
         )
 
     @property
     def kind(self) -> TaskKind:
-        """Batch or keeper."""
+        """The kind of its task, batch or keeper."""
         return TaskKind(self.command.kind)
 
     @property
     def is_final(self) -> bool:
-        """Whether it has ended for certain."""
+        """Whether it has certainly ended."""
         return self.phase in FINAL_PHASES
 
     @property
     def is_sent(self) -> bool:
-        """Whether the worker may have heard of it."""
-        return self.until > 0
+        """Whether the worker may have received its start."""
+        return self.deadline > 0
 
     def observe(self, listed: WorkerTask) -> None:
-        """Take what the worker says of progress and use."""
+        """Update progress and usage from the worker's listing."""
         self.checkpoint = listed.checkpoint or self.checkpoint
         self.used = listed.used
 
     def status(self) -> TaskStatus:
-        """Return what planners are told."""
+        """Return the status that is reported to planners."""
         command = self.command
         return TaskStatus(
             command.task_id,
--- a/hyssopring/agent/backend_sizes.py
+++ b/hyssopring/agent/backend_sizes.py
@@ -1,9 +1,10 @@
-"""Counts the backend servers of a VM in its ledger.
+"""Reservations of backend servers in the ledger of their VM.
 
 A backend server announces its service and slots; its size is that of the
-service's template and parameters. It runs whether it fits or not. While the
-size of one is unknown, or a fresh agent has not listened long enough to know
-of all, the agent cannot say what is free, and starts nothing.
+service's template and parameters. It runs whether it fits or not. The free
+capacity is unknown while the size of one is unknown, or until an agent that
+has just started had time to receive all announcements. The agent starts no
+task then.
 """
 
 from hyssopring.agent.backends import Backends
@@ -15,7 +16,7 @@
 
 
 class BackendSizes:
-    """Keeps the ledger in step with announcements and configuration."""
+    """Updates the ledger from announcements and configuration."""
 
     def __init__(
         self,
@@ -23,22 +24,22 @@
         backends: Backends,
         configuration: ConfigurationState,
     ) -> None:
-        """Count nothing so far."""
+        """Start without reservations."""
         self._ledger = ledger
         self._backends = backends
         self._configuration = configuration
         self._counted: set[str] = set()
         self._unknown: set[str] = set()
 
-    def account(self) -> None:
-        """Count what is announced now; call before each admission.
+    def update_ledger(self) -> None:
+        """Reserve the sizes of announced servers; call before admission.
 
-        A backend server whose template was withdrawn runs on and keeps the
-        size that it was counted with.
+        A backend server whose template was withdrawn continues to run and
+        keeps its reservation.
         """
         service_by_id = self._backends.service_by_id()
-        for gone in self._counted - service_by_id.keys():
-            self._ledger.release(_owner(gone))
+        for removed_id in self._counted - service_by_id.keys():
+            self._ledger.release(_owner(removed_id))
         self._counted &= service_by_id.keys()
         unknown = set()
         for backend_id, service_name in service_by_id.items():
@@ -48,16 +49,18 @@
                 self._counted.add(backend_id)
             elif backend_id not in self._counted:
                 unknown.add(backend_id)
-        self._note_unknown(unknown)
+        self._update_unknown(unknown)
 
-    def _note_unknown(self, unknown: set[str]) -> None:
+    def _update_unknown(self, unknown: set[str]) -> None:
         for backend_id in sorted(unknown - self._unknown):
             log_event(Event.BACKEND_SIZE_UNKNOWN, backend=backend_id)
         self._unknown = unknown
-        is_settled = self._backends.is_settled
-        self._ledger.has_unknown = bool(unknown) or not is_settled
+        is_discovery_complete = self._backends.is_discovery_complete
+        self._ledger.has_unknown_size = (
+            bool(unknown) or not is_discovery_complete
+        )
 
 
 def _owner(backend_id: str) -> str:
-    # A task's id has a colon and no slash.
+    # Distinct from the ids of tasks, which contain no slash.
     return f'backend/{backend_id}'
--- a/hyssopring/agent/calls.py
+++ b/hyssopring/agent/calls.py
@@ -1,8 +1,9 @@
-"""Runs callers' requests on this VM's backend servers, each at most once.
+"""Execution of callers' requests on this VM's backend servers, at most once.
 
-Every request id that was ever seen is remembered (``memory``). A second copy
-never runs again, and a request that an entry asked about before it came is
-refused when it comes, so "not run" stays true.
+Every request id is remembered (see ``memory``), so a copy of a request never
+runs. If an entry queries a request that has not arrived, the response is "not
+run" and the request is refused when it arrives, so that the response stays
+true.
 """
 
 from dataclasses import dataclass, field, replace
@@ -26,11 +27,11 @@
 
 __all__ = ('BackendCaller', 'CallExecutor', 'EntryLinks')
 
-# A non-idempotent call is waited for beyond its caller's deadline: the slot
-# is taken as long as the backend works, and the caller may ask later.
-_GRACE_MS = 30_000.0
+# A non-idempotent call may run beyond its caller's deadline: it occupies the
+# slot while the backend server works, and its outcome may be queried later.
+_NON_IDEMPOTENT_GRACE_MS = 30_000.0
 
-AnswerCallback = Callable[[CallResponse], None]
+ResponseCallback = Callable[[CallResponse], None]
 
 
 class BackendCaller(Protocol):
@@ -41,20 +42,28 @@
         address: str,
         request: CallRequest,
         timeout_ms: float,
-        done: AnswerCallback,
+        done: ResponseCallback,
     ) -> None:
-        """Call ``done`` once, with what became of the request."""
+        """Send the request and call ``done`` once, with the response."""
 
 
 class EntryLinks(Protocol):
     """Sends messages to connected entries."""
 
     def send(self, entry_id: str, message: Message) -> bool:
-        """Write a message; False if the entry is not connected."""
+        """Send a message; return False if the entry is not connected."""
 
 
 @dataclass(slots=True)
 class _OpenCall:
+    """A queued or running call.
+
+    Attributes:
+        deadline: When the caller stops waiting, in ms of the VM's clock.
+        entries: The entries that receive the response.
+        backend: The backend server that runs it, None while it is queued.
+    """
+
     request: CallRequest
     deadline: float
     entries: list[str] = field(default_factory=list)
@@ -62,7 +71,11 @@
 
 
 class CallExecutor:
-    """Admits, queues, runs and remembers calls."""
+    """Admits, queues, runs and remembers calls.
+
+    Attributes:
+        last_heartbeat: Sequence number of the agent's latest heartbeat.
+    """
 
     def __init__(
         self,
@@ -73,7 +86,16 @@
         metrics: Metrics,
         memory: OutcomeMemory | None = None,
     ) -> None:
-        """Take the collaborators."""
+        """Connect the ports to entries and backend servers.
+
+        Args:
+            clock: The VM's clock, in milliseconds.
+            backends: The backend servers on this VM.
+            links: Sends messages to entries.
+            caller: Sends requests to backend servers.
+            metrics: Counters of the process.
+            memory: The outcomes of past calls; empty by default.
+        """
         self._clock = clock
         self._backends = backends
         self._links = links
@@ -84,27 +106,27 @@
         self._open_by_id: dict[str, _OpenCall] = {}
         self._queue = CallQueue(backends)
         self._is_stopping = False
-        # The latest heartbeat of this agent; its core keeps it up to date.
-        self.sequence = 0
+        # Set by the core with each heartbeat.
+        self.last_heartbeat = 0
 
     @property
     def unfinished(self) -> int:
-        """Calls that are queued or running."""
+        """The number of calls that are queued or running."""
         return len(self._open_by_id)
 
-    def serves(self, entry_id: str) -> bool:
-        """Whether an entry waits for a call that is queued or running."""
+    def is_awaited_by(self, entry_id: str) -> bool:
+        """Whether an entry waits for the response of an open call."""
         return any(
             entry_id in call.entries for call in self._open_by_id.values()
         )
 
     def stop(self) -> None:
-        """Refuse new calls; queued and running ones finish."""
+        """Refuse new calls; open calls finish."""
         self._is_stopping = True
 
     def on_call(self, entry_id: str, request: CallRequest) -> None:
-        """Run a request unless this id was seen before."""
-        if self._answer_known(entry_id, request.request_id, request.after):
+        """Run or queue a request unless its id was seen before."""
+        if self._resolve_known(entry_id, request.request_id, request.after):
             log_event(
                 Event.REQUEST_DUPLICATE_REFUSED,
                 request=request.request_id,
@@ -127,64 +149,76 @@
         if backend is None:
             self._queue.push(request, deadline)
             return
-        self._run(call, backend)
+        self._start_call(call, backend)
 
     def on_query(self, entry_id: str, query: OutcomeQuery) -> None:
-        """Say what became of a request; one never seen is refused for good."""
+        """Send the outcome of a request.
+
+        A request that was never seen is refused when it arrives later, unless
+        the query is a ``peek``.
+        """
         if query.peek:
-            self._links.send(entry_id, self._look_up(query))
+            self._links.send(entry_id, self._current_outcome(query))
             return
-        if self._answer_known(entry_id, query.request_id, query.after):
+        if self._resolve_known(entry_id, query.request_id, query.after):
             return
         failure = Failure(ErrorKind.NO_BACKEND, 'the request never arrived')
         self._refuse(entry_id, query.request_id, failure)
 
     def on_cancel(self, request_id: str) -> None:
-        """Drop a queued call; a running one finishes and is remembered."""
+        """Remove a queued call; a running one finishes and is remembered."""
         call = self._open_by_id.get(request_id)
         if call is None or call.backend is not None:
             return
-        self._withdraw(call, Failure(ErrorKind.DEADLINE, 'cancelled'))
+        self._reject_queued(call, Failure(ErrorKind.DEADLINE, 'cancelled'))
 
     def tick(self) -> None:
-        """Refuse queued calls that can no longer run, and fill free slots."""
-        now = self._clock.now()
+        """Refuse queued calls that can no longer run, then fill free slots."""
+        now_ms = self._clock.now()
         for request_id in self._queue.request_ids:
             call = self._open_by_id[request_id]
             service_name = call.request.service_name
-            if call.deadline <= now:
+            if call.deadline <= now_ms:
                 failure = Failure(ErrorKind.DEADLINE, 'expired in the queue')
-                self._withdraw(call, failure)
+                self._reject_queued(call, failure)
             elif not self._backends.has_service(service_name):
-                # The backend server is leaving: the entry sends it elsewhere.
-                failure = Failure(ErrorKind.NO_BACKEND, 'the backend left')
-                self._withdraw(call, failure)
+                # The entry sends the call to another VM.
+                failure = Failure(
+                    ErrorKind.NO_BACKEND, 'no backend server accepts calls'
+                )
+                self._reject_queued(call, failure)
         self._fill_slots()
 
-    def _look_up(self, query: OutcomeQuery) -> CallResponse:
+    def _current_outcome(self, query: OutcomeQuery) -> CallResponse:
         request_id = query.request_id
         if request_id in self._open_by_id:
             return CallResponse(request_id, CallOutcome.RUNNING.value)
-        kept = self._memory.answer(request_id)
-        return kept or CallResponse(request_id, CallOutcome.UNSEEN.value)
+        remembered = self._memory.response_to(request_id)
+        return remembered or CallResponse(request_id, CallOutcome.UNSEEN.value)
 
-    def _answer_known(
+    def _resolve_known(
         self,
         entry_id: str,
         request_id: str,
         after: int,
     ) -> bool:
+        """Send the outcome of a known request; False if it is unknown.
+
+        An entry that asks about an open call receives its response later.
+        """
         call = self._open_by_id.get(request_id)
         if call is not None:
             if entry_id not in call.entries:
                 call.entries.append(entry_id)
             return True
-        kept = self._memory.answer(request_id)
-        if kept is None and self._memory.may_know(request_id, after):
-            kept = _unknown(request_id, 'the answer is no longer kept')
-        if kept is None:
+        remembered = self._memory.response_to(request_id)
+        if remembered is None and self._memory.may_have_seen(request_id, after):
+            remembered = _unknown(
+                request_id, 'the response is no longer stored'
+            )
+        if remembered is None:
             return False
-        self._links.send(entry_id, kept)
+        self._links.send(entry_id, remembered)
         return True
 
     def _admission_failure(self, request: CallRequest) -> Failure | None:
@@ -207,22 +241,22 @@
     ) -> None:
         is_certain = self._invariants.check(
             request_id not in self._open_by_id
-            and self._memory.answer(request_id) is None,
+            and self._memory.response_to(request_id) is None,
             '"not run" is said only of a request that did not run',
             request_id,
         )
         if not is_certain:
             return
         response = _not_run(request_id, failure)
-        self._memory.keep(response, self.sequence)
+        self._memory.add(response, self.last_heartbeat)
         load = self._backends.load(service_name)
         self._links.send(
             entry_id,
             replace(response, in_flight=load.in_flight, queued=load.queued),
         )
 
-    def _withdraw(self, call: _OpenCall, failure: Failure) -> None:
-        """End a call that waits in the queue; it never runs."""
+    def _reject_queued(self, call: _OpenCall, failure: Failure) -> None:
+        """End a queued call without running it."""
         request_id = call.request.request_id
         is_certain = self._invariants.check(
             call.backend is None,
@@ -234,13 +268,13 @@
             self._finish(call, _not_run(request_id, failure))
 
     def _fill_slots(self) -> None:
-        for request_id, backend in self._queue.ready():
-            self._run(self._open_by_id[request_id], backend)
+        for request_id, backend in self._queue.take_ready():
+            self._start_call(self._open_by_id[request_id], backend)
 
-    def _run(self, call: _OpenCall, backend: AnnouncedBackend) -> None:
+    def _start_call(self, call: _OpenCall, backend: AnnouncedBackend) -> None:
         request = call.request
         is_first = self._invariants.check(
-            self._memory.answer(request.request_id) is None
+            self._memory.response_to(request.request_id) is None
             and call.backend is None,
             'a request runs at most once',
             request.request_id,
@@ -248,21 +282,25 @@
         if not is_first:
             return
         call.backend = backend
-        started = self._clock.now()
-        self._backends.started(backend)
-        left = max(call.deadline - started, 1)
+        started_at = self._clock.now()
+        self._backends.on_call_started(backend)
+        remaining_ms = max(call.deadline - started_at, 1)
         self._caller.call(
             backend.address,
             request,
-            left if request.idempotent else left + _GRACE_MS,
-            lambda response: self._answered(call, backend, started, response),
+            remaining_ms
+            if request.idempotent
+            else remaining_ms + _NON_IDEMPOTENT_GRACE_MS,
+            lambda response: self._on_response(
+                call, backend, started_at, response
+            ),
         )
 
-    def _answered(
+    def _on_response(
         self,
         call: _OpenCall,
         backend: AnnouncedBackend,
-        started: float,
+        started_at: float,
         response: CallResponse,
     ) -> None:
         request_id = call.request.request_id
@@ -274,7 +312,7 @@
         )
         if not is_own:
             return
-        self._backends.finished(backend, self._clock.now() - started)
+        self._backends.on_call_finished(backend, self._clock.now() - started_at)
         if response.outcome == CallOutcome.NOT_RUN.value:
             self._metrics.count('backend_refused_total')
         self._finish(call, response)
@@ -283,7 +321,7 @@
     def _finish(self, call: _OpenCall, response: CallResponse) -> None:
         request = call.request
         self._open_by_id.pop(request.request_id)
-        self._memory.keep(response, self.sequence)
+        self._memory.add(response, self.last_heartbeat)
         load = self._backends.load(request.service_name)
         reply = replace(response, in_flight=load.in_flight, queued=load.queued)
         for entry_id in call.entries:
--- a/hyssopring/agent/core.py
+++ b/hyssopring/agent/core.py
@@ -1,4 +1,4 @@
-"""The agent's logic without sockets: typed messages in and out."""
+"""The agent's logic without sockets: handles and sends typed messages."""
 
 import random
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from hyssopring.agent.backends import Backends
 from hyssopring.agent.calls import BackendCaller, CallExecutor
 from hyssopring.agent.ledger import Ledger
-from hyssopring.agent.sessions import HEARTBEAT_MS, EntrySessions, News
+from hyssopring.agent.sessions import HEARTBEAT_MS, EntrySessions, RoutingState
 from hyssopring.agent.tasks import TaskSupervisor
 from hyssopring.agent.worker import Worker
 from hyssopring.clock import Clock
@@ -45,10 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentIdentity:
-    """Who this agent is, from its settings and this run.
+    """The identity of one run of an agent process.
 
     Attributes:
-        incarnation: Differs in each run: an agent keeps nothing.
+        incarnation: Unique to each run, as an agent stores no state on disk.
+        rack: The failure domain of the VM within its zone.
+        capacity: The resources of the VM that may be reserved.
     """
 
     agent_id: str
@@ -58,7 +60,12 @@
     capacity: Resources
 
     def hello(self, proof: str, configuration_version: int) -> Hello:
-        """Return the first message on a connection."""
+        """Return the first message that the agent sends on a connection.
+
+        Args:
+            proof: Answers the entry's challenge under the shared secret.
+            configuration_version: The version that the agent has applied.
+        """
         return Hello(
             PROTOCOL_VERSION,
             self.agent_id,
@@ -71,22 +78,26 @@
         )
 
 
-def _nothing() -> None:
-    """Nobody asked to be told of new work."""
+def _do_nothing() -> None:
+    """Ignore new work: no callback is set."""
 
 
 class AgentLinks(Protocol):
     """Sends messages to connected entries."""
 
     def send(self, entry_id: str, message: Message) -> bool:
-        """Write a message; False if the entry is not connected."""
+        """Send a message; return False if the entry is not connected."""
 
     def broadcast(self, message: Message) -> None:
-        """Write a message to every connected entry."""
+        """Send a message to every connected entry."""
 
 
 class AgentCore:
-    """One agent: its ledger, calls, tasks and configuration."""
+    """The state of one agent: its ledger, calls, tasks and configuration.
+
+    Attributes:
+        on_work: Called before each call is handled, so that a timer can run.
+    """
 
     def __init__(
         self,
@@ -98,11 +109,21 @@
         metrics: Metrics,
         directory: EntryDirectory | None = None,
     ) -> None:
-        """Take the ports to entries, backend servers and the worker."""
+        """Connect the ports to entries, backend servers and the worker.
+
+        Args:
+            clock: The VM's clock, in milliseconds.
+            identity: Identifies this run of the agent.
+            links: Sends messages to entries.
+            caller: Sends requests to backend servers.
+            worker: Runs tasks.
+            metrics: Counters and gauges of the process.
+            directory: The known entries; empty by default.
+        """
         invariants = Invariants(metrics)
         self._clock = clock
         self._links = links
-        self.on_work: Callable[[], None] = _nothing
+        self.on_work: Callable[[], None] = _do_nothing
         self._sequence = 0
         self._is_stopping = False
         self.sessions = EntrySessions(clock)
@@ -133,23 +154,26 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether a planned stop may end the process now."""
+        """Whether no call is open and no task may be running.
+
+        A graceful shutdown may end the process then.
+        """
         return not self.calls.unfinished and not self.tasks.running
 
     def on_connected(self, entry_id: str) -> None:
-        """An entry has welcomed this agent on a new connection."""
+        """Open a session with an entry that accepted this agent."""
         self.sessions.open(entry_id)
         log_event(Event.ENTRY_CONNECTED, entry=entry_id)
-        self._beat(entry_id)
+        self._send_heartbeat(entry_id)
 
     def on_disconnected(self, entry_id: str) -> None:
-        """A connection to an entry is gone."""
+        """Close the session of an entry whose connection was lost."""
         if self.sessions.close(entry_id):
             log_event(Event.ENTRY_DISCONNECTED, entry=entry_id)
 
     @singledispatchmethod
     def on_message(self, message: Message, entry_id: str) -> None:
-        """Take one message from an entry; others than these are ignored."""
+        """Handle one message of an entry; ignore unexpected kinds."""
 
     @on_message.register
     def _on_call(self, message: CallRequest, entry_id: str) -> None:
@@ -176,8 +200,8 @@
                 version=message.version,
                 source=entry_id,
             )
-            self._follow_drain()
-            self._beat(entry_id)
+            self._apply_drain()
+            self._send_heartbeat(entry_id)
 
     @on_message.register
     def _on_entry_list(self, message: EntryList, entry_id: str) -> None:
@@ -194,7 +218,7 @@
 
     @on_message.register
     def _on_start(self, message: StartTask, entry_id: str) -> None:
-        self.backend_sizes.account()
+        self.backend_sizes.update_ledger()
         self.tasks.on_start(message)
 
     @on_message.register
@@ -206,19 +230,19 @@
         self.tasks.on_throttle(message)
 
     @on_message.register
-    def _on_recorded(self, message: TaskReportAck, entry_id: str) -> None:
-        self.tasks.on_recorded(message.tasks)
+    def _on_report_ack(self, message: TaskReportAck, entry_id: str) -> None:
+        self.tasks.on_report_ack(message.tasks)
 
     @on_message.register
     def _on_ack(self, message: HeartbeatAck, entry_id: str) -> None:
         session = self.sessions.get(entry_id)
         if session is None:
             return
-        asked_at = session.acked(message.sequence, message.next_ms)
-        if asked_at is None:
+        sent_at = session.record_ack(message.sequence, message.next_ms)
+        if sent_at is None:
             return
         for grant in message.grants:
-            self.tasks.on_grant(grant, asked_at)
+            self.tasks.on_grant(grant, sent_at)
             report = session.due_report(self.tasks, grant, self._clock.now())
             if report is not None:
                 self._links.send(entry_id, report)
@@ -227,52 +251,60 @@
             self._links.send(entry_id, query)
 
     def heartbeat(self) -> None:
-        """Tell entries that this agent lives; call each second."""
-        self._follow_drain()
-        self.backend_sizes.account()
-        for entry_id in self.sessions.due(self._news()):
-            self._beat(entry_id)
-        self.directory.pin({each.shard for each in self.tasks.statuses()})
+        """Send the heartbeats that are due; call each second."""
+        self._apply_drain()
+        self.backend_sizes.update_ledger()
+        for entry_id in self.sessions.due_entries(self._routing_state()):
+            self._send_heartbeat(entry_id)
+        self.directory.pin({status.shard for status in self.tasks.statuses()})
         for source, members in self.directory.to_tell().items():
             self._links.send(source, EntryList(members))
 
-    def to_leave(self) -> list[str]:
+    def closable_entries(self) -> list[str]:
         """Return the entries whose connection may be closed now.
 
-        An entry outside the subset is told as at a planned stop, so that it
-        sends nothing new, and is left once its calls have ended.
+        An entry outside the subset first gets a heartbeat that announces a
+        stop, as at a shutdown, so that it sends no new work. Its connection
+        may be closed once its calls have ended.
         """
         for entry_id in self.sessions.mark_leaving(self.directory.surplus()):
-            self._beat(entry_id)
-        return self.sessions.to_leave(self.calls.serves)
+            self._send_heartbeat(entry_id)
+        return self.sessions.closable_entries(self.calls.is_awaited_by)
 
     def tick(self) -> None:
-        """Let deadlines and leases take effect."""
+        """Remove silent backend servers; refuse queued calls that expired."""
         self.expire_backends()
         self.calls.tick()
 
     def expire_backends(self) -> None:
-        """Drop backend servers that no longer announce themselves."""
+        """Remove backend servers that no longer announce themselves."""
         self.backends.expire()
 
     def stop(self) -> None:
-        """Begin a planned stop: nothing new, what runs finishes."""
+        """Begin a graceful shutdown.
+
+        New work is refused, open calls finish and tasks are checkpointed.
+        """
         self._is_stopping = True
         self.calls.stop()
         self.tasks.close('agent is stopping')
         self.heartbeat()
 
-    def _follow_drain(self) -> None:
-        """Follow an operator's drain; a stop in doubt is asked again."""
+    def _apply_drain(self) -> None:
+        """Apply an operator's drain order, if there is one.
+
+        Each call repeats the stop of tasks whose stop is unconfirmed.
+        """
         if self._is_stopping:
             return
-        order = self.configuration.drain(self.identity.agent_id)
-        if order is None:
+        drain_order = self.configuration.drain(self.identity.agent_id)
+        if drain_order is None:
             self.tasks.close('')
         else:
-            self.tasks.close('its VM is drained', keepers=order.keepers)
+            self.tasks.close('its VM is drained', keepers=drain_order.keepers)
 
-    def _news(self) -> News:
+    def _routing_state(self) -> RoutingState:
+        """Return the state whose changes are sent without delay."""
         return (
             self._is_stopping,
             self.configuration.version,
@@ -282,13 +314,15 @@
             ),
         )
 
-    def _beat(self, entry_id: str) -> None:
+    def _send_heartbeat(self, entry_id: str) -> None:
         session = self.sessions.get(entry_id)
         if session is None:
             return
         self._sequence += 1
-        self.calls.sequence = self._sequence
-        session.beat(self._sequence, self._clock.now(), self._news())
+        self.calls.last_heartbeat = self._sequence
+        session.record_heartbeat(
+            self._sequence, self._clock.now(), self._routing_state()
+        )
         self._links.send(
             entry_id,
             Heartbeat(
--- a/hyssopring/agent/daemon.py
+++ b/hyssopring/agent/daemon.py
@@ -7,8 +7,8 @@
 from hyssopring.addresses import parse_address
 from hyssopring.agent.announce import AnnounceResource
 from hyssopring.agent.core import HEARTBEAT_MS, AgentCore, AgentIdentity
+from hyssopring.agent.http_clients import HttpBackendCaller, HttpWorker
 from hyssopring.agent.links import EntryLinks
-from hyssopring.agent.outside import HttpBackendCaller, HttpWorker
 from hyssopring.clock import MILLIS_PER_SECOND, Clock, MonotonicClock
 from hyssopring.lifecycle import Lifecycle
 from hyssopring.logs import Event, log_event
@@ -20,16 +20,20 @@
 
 __all__ = ('AgentDaemon',)
 
-_TICK_S = 0.02
-_TURN_S = 0.1
-_SILENCE_CHECK_S = 0.25
-_LISTING_S = 0.5
-_LEASES_S = 1.0
-_PROGRESS_S = 10.0
+_CALLS_TICK_S = 0.02
+_CONNECTIONS_TICK_S = 0.1
+_SILENCE_CHECK_INTERVAL_S = 0.25
+_LISTING_INTERVAL_S = 0.5
+_LEASES_TICK_S = 1.0
+_PROGRESS_INTERVAL_S = 10.0
 
 
 class AgentDaemon:
-    """One running agent."""
+    """One running agent.
+
+    Attributes:
+        core: The agent's logic, which owns no sockets.
+    """
 
     def __init__(
         self,
@@ -37,7 +41,13 @@
         settings: AgentSettings,
         clock: Clock | None = None,
     ) -> None:
-        """Build the core and its shell; ``start`` opens the port."""
+        """Build the core and its connections; ``start`` opens the port.
+
+        Args:
+            reactor: The Twisted reactor.
+            settings: The agent's settings file.
+            clock: The VM's clock, in milliseconds; monotonic by default.
+        """
         self._reactor = reactor
         self._settings = settings
         self._clock = clock or MonotonicClock()
@@ -72,31 +82,35 @@
         self._announce = AnnounceResource(self.core)
         self.core.on_work = Ticker(
             reactor,
-            _TICK_S,
+            _CALLS_TICK_S,
             self.core.tick,
             lambda: bool(self.core.calls.unfinished),
         ).wake
         self._lifecycle = Lifecycle(reactor, self._clock, 'agent')
-        self.core.metrics.collect(self._gauge)
+        self.core.metrics.collect(self._update_gauges)
 
     def start(self) -> None:
         """Open the port, dial the entries, start the timers."""
         host, port = parse_address(self._settings.announce_address)
         site = QuietSite.from_resource(self._announce)
         self._reactor.listenTCP(port, site, interface=host)
-        self._lifecycle.every(_TURN_S, self._turn)
-        self._lifecycle.every(_LEASES_S, self.core.tasks.tick)
+        self._lifecycle.every(_CONNECTIONS_TICK_S, self._tick_connections)
+        self._lifecycle.every(_LEASES_TICK_S, self.core.tasks.tick)
         self._lifecycle.every(
             HEARTBEAT_MS / MILLIS_PER_SECOND,
             self.core.heartbeat,
         )
-        self._lifecycle.every(_SILENCE_CHECK_S, self._links.check_silence)
-        self._lifecycle.every(_LISTING_S, self._list_tasks)
-        self._lifecycle.every(_PROGRESS_S, self.core.tasks.report_progress)
+        self._lifecycle.every(
+            _SILENCE_CHECK_INTERVAL_S, self._links.close_silent_connections
+        )
+        self._lifecycle.every(_LISTING_INTERVAL_S, self._list_tasks)
+        self._lifecycle.every(
+            _PROGRESS_INTERVAL_S, self.core.tasks.report_progress
+        )
         log_event(Event.PROCESS_STARTED, role='agent', id=self._settings.id)
 
     def stop(self) -> None:
-        """Begin a graceful shutdown: requests in flight finish first."""
+        """Begin a graceful shutdown: calls in flight finish first."""
         if not self._announce.is_ready:
             return
         self._announce.is_ready = False
@@ -111,7 +125,7 @@
             self._settings.drain_ms,
         )
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         metrics = self.core.metrics
         gauge_process(metrics)
         traffic = self._links.traffic
@@ -120,12 +134,12 @@
         metrics.gauge('inner_connections', self._links.connected)
         metrics.gauge('tasks_running', self.core.tasks.running)
 
-    def _turn(self) -> None:
+    def _tick_connections(self) -> None:
         self.core.expire_backends()
         self._links.dial()
 
     def _list_tasks(self) -> None:
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         self._worker.list(
-            lambda listing: self.core.tasks.on_listing(listing, asked_at),
+            lambda listing: self.core.tasks.on_listing(listing, requested_at),
         )
--- a/hyssopring/agent/outside.py
+++ b/hyssopring/agent/http_clients.py
@@ -1,4 +1,4 @@
-"""The agent's calls to backend servers and to the worker (Twisted shell)."""
+"""HTTP clients of backend servers and of the worker (Twisted shell)."""
 
 import dataclasses
 import json
@@ -6,8 +6,8 @@
 
 from twisted.internet.error import ConnectError, ConnectionRefusedError
 
-from hyssopring.agent.calls import AnswerCallback
-from hyssopring.agent.worker import StopAnswer, WorkerListing, WorkerTask
+from hyssopring.agent.calls import ResponseCallback
+from hyssopring.agent.worker import StopResponse, WorkerListing, WorkerTask
 from hyssopring.errors import ErrorKind
 from hyssopring.outcomes import CallOutcome
 from hyssopring.protocol.messages import (
@@ -29,11 +29,11 @@
 
 _MAX_CONNECTIONS = 64
 # Backend servers close idle connections, often after a minute. A request that
-# is written just then gets no answer, and nobody can say whether it ran: an
-# idle connection is dropped on this side well before.
-_IDLE_S = 5
+# is sent at that moment gets no response, and its outcome is unknown; so idle
+# connections are closed on this side well before.
+_IDLE_TIMEOUT_S = 5
 _WORKER_TIMEOUT_MS = 2000.0
-_WORKER_CONNECTIONS = 2
+_MAX_WORKER_CONNECTIONS = 2
 _OK = 200
 _CONFLICT = 409
 
@@ -42,18 +42,18 @@
     """Sends requests to backend servers on this VM over HTTP."""
 
     def __init__(self, reactor: Any) -> None:
-        """Pool connections; never let the library repeat a request."""
+        """Pool connections, without automatic retries by the HTTP library."""
         self._reactor = reactor
-        self._agent = pooled_agent(reactor, _MAX_CONNECTIONS, _IDLE_S)
+        self._agent = pooled_agent(reactor, _MAX_CONNECTIONS, _IDLE_TIMEOUT_S)
 
     def call(
         self,
         address: str,
         request: CallRequest,
         timeout_ms: float,
-        done: AnswerCallback,
+        done: ResponseCallback,
     ) -> None:
-        """Call ``done`` once, with what became of the request."""
+        """Send the request and call ``done`` once, with the response."""
         deferred = fetch(
             self._reactor,
             self._agent,
@@ -64,24 +64,25 @@
             [(header.name, header.text) for header in request.headers],
         )
         deferred.addCallbacks(
-            lambda answer: _answered(request, answer),
-            lambda reason: _failed(request, reason),
+            lambda response: _to_response(request, response),
+            lambda reason: _to_failed_response(request, reason),
         )
         deferred.addCallback(done)
 
 
-def _answered(request: CallRequest, answer: FetchedAnswer) -> CallResponse:
+def _to_response(request: CallRequest, response: FetchedAnswer) -> CallResponse:
     return CallResponse(
         request.request_id,
         CallOutcome.ANSWERED.value,
-        answer.status,
-        tuple(Header(name, text) for name, text in answer.headers),
-        answer.body,
+        response.status,
+        tuple(Header(name, text) for name, text in response.headers),
+        response.body,
     )
 
 
-def _failed(request: CallRequest, reason: Any) -> CallResponse:
-    # A refused connection is certain: no byte of the request was sent.
+def _to_failed_response(request: CallRequest, reason: Any) -> CallResponse:
+    # After a refused connection the request has certainly not run: no byte of
+    # it was sent.
     if reason.check(ConnectionRefusedError, ConnectError):
         outcome, kind = CallOutcome.NOT_RUN, ErrorKind.NO_BACKEND
     elif reason.check(TruncatedAnswer):
@@ -97,35 +98,53 @@
 
 
 class HttpWorker:
-    """Drives the platform's worker on this VM over HTTP."""
+    """Controls the platform's worker on this VM over HTTP."""
 
     def __init__(self, reactor: Any, url: str, session: str) -> None:
-        """Talk to the worker at ``url`` under this run's session."""
+        """Send requests to the worker.
+
+        Args:
+            reactor: The Twisted reactor.
+            url: The worker's base URL.
+            session: Identifies this run of the agent.
+        """
         self._reactor = reactor
         self._url = url.rstrip('/')
         self._session = session
-        self._agent = pooled_agent(reactor, _WORKER_CONNECTIONS)
+        self._agent = pooled_agent(reactor, _MAX_WORKER_CONNECTIONS)
 
     def start(
         self,
         command: StartTask,
-        until: float,
+        deadline: float,
         done: Callable[[bool | None], None],
     ) -> None:
-        """Start a task; False if the worker has refused, None if in doubt."""
+        """Start a task.
+
+        Args:
+            command: The start.
+            deadline: When the worker ends the task, on the VM's clock.
+            done: Called with whether it started, None if that is unknown.
+        """
         self._post(
             f'/tasks/{command.task_id}/start',
-            {'command': dataclasses.asdict(command), 'until': until},
-            lambda answer: done(_is_started(answer)),
+            {'command': dataclasses.asdict(command), 'until': deadline},
+            lambda response: done(_is_started(response)),
         )
 
     def stop(
         self,
         command: StartTask,
         mode: StopMode,
-        done: Callable[[StopAnswer | None], None],
+        done: Callable[[StopResponse | None], None],
     ) -> None:
-        """Stop an attempt and forget it; None if in doubt."""
+        """Stop an attempt and remove it from the listing.
+
+        Args:
+            command: The start of the attempt.
+            mode: How to stop it.
+            done: Called with its end, None if that is unknown.
+        """
         self._post(
             f'/tasks/{command.task_id}/stop',
             {
@@ -133,27 +152,27 @@
                 'worker_boot': command.worker_boot,
                 'mode': mode.value,
             },
-            lambda answer: done(_stop_answer(answer)),
+            lambda response: done(_to_stop_response(response)),
         )
 
     def throttle(self, task_id: str, share: float) -> None:
-        """Leave a task this share of its processor time; the listing tells."""
+        """Set a task's share of processor time; listings contain the result."""
         self._post(
             f'/tasks/{task_id}/throttle',
             {'share': share},
-            lambda _answer: None,
+            lambda _response: None,
         )
 
-    def renew(self, until_by_task: Mapping[str, float]) -> None:
+    def renew(self, deadline_by_task: Mapping[str, float]) -> None:
         """Extend the deadlines of running tasks."""
         self._post(
             '/leases',
-            {'until': dict(until_by_task)},
-            lambda _answer: None,
+            {'until': dict(deadline_by_task)},
+            lambda _response: None,
         )
 
     def list(self, done: Callable[[WorkerListing | None], None]) -> None:
-        """Read what the worker runs; None if it cannot say."""
+        """Request a listing; ``done`` gets None if the request fails."""
         deferred = fetch(
             self._reactor,
             self._agent,
@@ -162,7 +181,7 @@
             timeout_ms=_WORKER_TIMEOUT_MS,
         )
         deferred.addCallbacks(
-            lambda answer: done(_listing(answer)),
+            lambda response: done(_to_listing(response)),
             lambda _reason: done(None),
         )
 
@@ -183,40 +202,42 @@
         deferred.addCallbacks(done, lambda _reason: done(None))
 
 
-def _is_started(answer: FetchedAnswer | None) -> bool | None:
-    if answer is None or answer.status not in {_OK, _CONFLICT}:
+def _is_started(response: FetchedAnswer | None) -> bool | None:
+    if response is None or response.status not in {_OK, _CONFLICT}:
         return None
-    return answer.status == _OK
+    return response.status == _OK
 
 
-def _stop_answer(answer: FetchedAnswer | None) -> StopAnswer | None:
-    if answer is None or answer.status != _OK:
+def _to_stop_response(response: FetchedAnswer | None) -> StopResponse | None:
+    if response is None or response.status != _OK:
         return None
-    document = json.loads(answer.body)
-    return StopAnswer(TaskPhase(document['phase']), document['checkpoint'])
+    document = json.loads(response.body)
+    return StopResponse(TaskPhase(document['phase']), document['checkpoint'])
 
 
-def _listing(answer: FetchedAnswer) -> WorkerListing | None:
-    if answer.status != _OK:
+def _to_listing(response: FetchedAnswer) -> WorkerListing | None:
+    if response.status != _OK:
         return None
-    document = json.loads(answer.body)
-    tasks = tuple(_worker_task(entry) for entry in document['tasks'])
+    document = json.loads(response.body)
+    tasks = tuple(
+        _to_worker_task(task_document) for task_document in document['tasks']
+    )
     return WorkerListing(document['boot'], tasks)
 
 
-def _worker_task(entry: Any) -> WorkerTask:
+def _to_worker_task(task_document: Any) -> WorkerTask:
     return WorkerTask(
-        entry['task_id'],
-        entry['attempt'],
-        entry['phase'],
-        entry['checkpoint'],
-        _command(entry['command']),
-        Resources(**entry['used']),
-        entry['share'],
-        entry['until'],
+        task_document['task_id'],
+        task_document['attempt'],
+        task_document['phase'],
+        task_document['checkpoint'],
+        _to_command(task_document['command']),
+        Resources(**task_document['used']),
+        task_document['share'],
+        task_document['until'],
     )
 
 
-def _command(document: Any) -> StartTask:
+def _to_command(document: Any) -> StartTask:
     size = Resources(**document['size'])
     return StartTask(**{**document, 'size': size})
--- a/hyssopring/agent/ledger.py
+++ b/hyssopring/agent/ledger.py
@@ -1,14 +1,14 @@
-"""Accounts for what runs on one VM; the agent alone admits.
+"""Accounting of the resources of one VM; only the agent admits work.
 
-Declared sizes are often too small. Each owner counts with the larger of its
-reservation and what was last measured of it, in each dimension, so a VM that
-is fuller than declared takes no further work.
+Declared sizes are often too small. In each dimension, an owner counts with the
+larger of its reservation and its last measured usage, so a VM that is fuller
+than declared accepts no further work.
 
-Entries plan on stale knowledge and may both choose this VM at once; only a
-reservation here makes a start possible, so the VM is never given more than
-it holds. What runs already cannot be refused: a backend server that announces
-itself, a task that an earlier run of the agent has started. It is counted all
-the same; while the VM is over-committed that way, nothing new starts.
+Two entries may choose this VM at once, as they plan on stale data. A task
+starts only with a reservation in the ledger, so the VM is never given more
+than its capacity. Work that already runs can't be refused: a backend server
+that announces itself, or a task that an earlier run of the agent started. It
+is counted as well; while the VM is overcommitted by it, nothing new starts.
 """
 
 import math
@@ -21,15 +21,23 @@
 
 __all__ = ('Ledger',)
 
-# Counted in whole thousandths: sums of floats would drift past a limit.
+# Amounts are integers in thousandths: the rounding errors of float sums could
+# exceed a limit.
 _SCALE = 1000
+# Removes the rounding error of the multiplication before floor or ceil.
 _DIGITS = 3
-_Amounts = tuple[int, int, int]
-_NOTHING: _Amounts = (0, 0, 0)
+# Cores, gigabytes of memory and accelerators, each in thousandths.
+_MilliAmounts = tuple[int, int, int]
+_ZERO: _MilliAmounts = (0, 0, 0)
 
 
 class Ledger:
-    """Reservations by owner against a VM's capacity."""
+    """Reservations by owner against a VM's capacity.
+
+    Attributes:
+        has_unknown_size: Whether something of unknown size runs on the VM;
+            no capacity is free then.
+    """
 
     def __init__(
         self,
@@ -42,20 +50,21 @@
         self._limit = _amounts(capacity, math.floor)
         self._invariants = invariants
         self._metrics = metrics
-        self._size_by_owner: dict[str, _Amounts] = {}
-        self._observed_by_owner: dict[str, _Amounts] = {}
-        self._reserved = _NOTHING
-        self._used = _NOTHING
-        self._is_over = False
-        self.has_unknown = False
+        self._size_by_owner: dict[str, _MilliAmounts] = {}
+        self._observed_by_owner: dict[str, _MilliAmounts] = {}
+        self._reserved = _ZERO
+        self._used = _ZERO
+        self._is_overcommitted = False
+        self.has_unknown_size = False
 
     @property
     def free(self) -> Resources:
-        """What is neither reserved nor used; negative on a VM over-full.
+        """The capacity that is neither reserved nor used.
 
-        Nothing is, while the size of something that runs is unknown.
+        It is negative on an overcommitted VM, and zero while the size of
+        something that runs is unknown.
         """
-        if self.has_unknown:
+        if self.has_unknown_size:
             return Resources()
         cores, memory, accelerators = (
             total - used
@@ -68,12 +77,12 @@
         )
 
     @property
-    def is_over(self) -> bool:
-        """Whether what was adopted or announced exceeds the VM."""
-        return self._is_over
+    def is_overcommitted(self) -> bool:
+        """Whether reservations exceed the VM's capacity."""
+        return self._is_overcommitted
 
     def observe(self, observed_by_owner: Mapping[str, Resources]) -> None:
-        """Take what was measured of owners; it lags behind their use."""
+        """Update the measured usage, which lags behind the actual usage."""
         self._observed_by_owner = {
             owner: _amounts(observed, math.ceil)
             for owner, observed in observed_by_owner.items()
@@ -82,12 +91,17 @@
         self._recount()
 
     def reserve(self, owner: str, size: Resources) -> bool:
-        """Reserve ``size`` for a new owner; False if it does not fit."""
+        """Reserve ``size`` for a new owner.
+
+        Returns:
+            False if it does not fit, is not positive, or the owner has a
+            reservation already.
+        """
         amounts = _amounts(size, math.ceil)
-        is_sane = min(amounts) >= 0 and max(amounts) > 0
-        if owner in self._size_by_owner or not is_sane:
+        is_valid = min(amounts) >= 0 and max(amounts) > 0
+        if owner in self._size_by_owner or not is_valid:
             return False
-        if self.has_unknown or not self._fits(_plus(self._used, amounts)):
+        if self.has_unknown_size or not self._fits(_plus(self._used, amounts)):
             return False
         self._size_by_owner[owner] = amounts
         self._recount()
@@ -98,33 +112,34 @@
         )
 
     def adopt(self, owner: str, size: Resources) -> None:
-        """Count what runs already, whether it fits or not."""
+        """Reserve ``size`` for what already runs, whether it fits or not."""
         amounts = _amounts(size, math.ceil)
         if self._size_by_owner.get(owner) != amounts:
             self._size_by_owner[owner] = amounts
             self._recount()
 
     def release(self, owner: str) -> None:
-        """Give back an owner's reservation, if it has one."""
+        """Release an owner's reservation, if it has one."""
         if self._size_by_owner.pop(owner, None) is not None:
             self._observed_by_owner.pop(owner, None)
             self._recount()
 
-    def _fits(self, used: _Amounts) -> bool:
+    def _fits(self, used: _MilliAmounts) -> bool:
         return all(
-            part <= total for part, total in zip(used, self._limit, strict=True)
+            amount <= total
+            for amount, total in zip(used, self._limit, strict=True)
         )
 
     def _recount(self) -> None:
-        self._reserved = _NOTHING
-        self._used = _NOTHING
+        self._reserved = _ZERO
+        self._used = _ZERO
         for owner, size in self._size_by_owner.items():
             observed = self._observed_by_owner.get(owner, size)
             self._reserved = _plus(self._reserved, size)
             self._used = _plus(self._used, _larger(size, observed))
         is_over = not self._fits(self._reserved)
-        if is_over != self._is_over:
-            self._is_over = is_over
+        if is_over != self._is_overcommitted:
+            self._is_overcommitted = is_over
             self._metrics.gauge('vm_overcommitted', int(is_over))
             log_event(
                 Event.VM_OVERCOMMITTED,
@@ -136,16 +151,16 @@
 
 def _amounts(
     size: Resources,
-    to_whole: Callable[[float], int],
-) -> _Amounts:
+    rounding: Callable[[float], int],
+) -> _MilliAmounts:
     return (
-        to_whole(round(size.cores * _SCALE, _DIGITS)),
-        to_whole(round(size.memory_gb * _SCALE, _DIGITS)),
+        rounding(round(size.cores * _SCALE, _DIGITS)),
+        rounding(round(size.memory_gb * _SCALE, _DIGITS)),
         size.accelerators * _SCALE,
     )
 
 
-def _plus(first: _Amounts, second: _Amounts) -> _Amounts:
+def _plus(first: _MilliAmounts, second: _MilliAmounts) -> _MilliAmounts:
     return (
         first[0] + second[0],
         first[1] + second[1],
@@ -153,7 +168,7 @@
     )
 
 
-def _larger(first: _Amounts, second: _Amounts) -> _Amounts:
+def _larger(first: _MilliAmounts, second: _MilliAmounts) -> _MilliAmounts:
     return (
         max(first[0], second[0]),
         max(first[1], second[1]),
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -1,6 +1,7 @@
 """The agent's connections to entries (Twisted shell).
 
-The core's directory says whom to dial and when; this module owns the sockets.
+The core's directory decides which entries to dial and when; this module owns
+the sockets.
 """
 
 from functools import singledispatchmethod
@@ -27,7 +28,14 @@
 
 
 class _Link(Factory):
-    """One connection to one address, from dialling to its end."""
+    """One connection to one address, from dialling to its close.
+
+    Attributes:
+        entry_id: The entry that accepted the agent; empty before that.
+        is_refused: Whether the entry has refused the agent.
+        is_skipped: Whether the agent closed it, as the directory needs no
+            connection to that entry.
+    """
 
     noisy = False
 
@@ -42,10 +50,10 @@
     def buildProtocol(self, addr: object) -> InnerConnection:
         return InnerConnection(
             self.owner.clock,
-            self._opened,
-            self._received,
-            self._broken,
-            self._closed,
+            self._on_opened,
+            self._on_received,
+            self._on_protocol_error,
+            self._on_closed,
             self.owner.traffic,
         )
 
@@ -57,31 +65,35 @@
             port,
             timeout=_CONNECT_TIMEOUT_S,
         )
-        endpoint.connect(self).addErrback(self._failed)
+        endpoint.connect(self).addErrback(self._on_connect_failed)
 
-    def check_silence(self, now: float) -> None:
+    def abort_if_silent(self, now_ms: float) -> None:
         if self.connection is None:
             return
-        limit = self.owner.core.sessions.silence_timeout_ms(self.entry_id)
-        if now - self.connection.last_heard > limit:
+        timeout_ms = self.owner.core.sessions.silence_timeout_ms(self.entry_id)
+        if now_ms - self.connection.last_heard > timeout_ms:
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             self.connection.abort()
 
-    def _opened(self, connection: InnerConnection) -> None:
+    def _on_opened(self, connection: InnerConnection) -> None:
         self.connection = connection
 
-    def _received(self, connection: InnerConnection, message: Message) -> None:
-        self._take(message, connection)
+    def _on_received(
+        self, connection: InnerConnection, message: Message
+    ) -> None:
+        self._on_message(message, connection)
 
     @singledispatchmethod
-    def _take(self, message: Message, connection: InnerConnection) -> None:
-        # What still arrives after a newer connection took this one's place
-        # belongs to an older generation.
+    def _on_message(
+        self, message: Message, connection: InnerConnection
+    ) -> None:
+        # Messages that arrive on a connection after a newer one has replaced
+        # it are outdated.
         if self.entry_id and self.owner.is_current(self):
             self.owner.core.on_message(message, self.entry_id)
 
-    @_take.register
-    def _take_challenge(
+    @_on_message.register
+    def _on_challenge(
         self,
         message: Challenge,
         connection: InnerConnection,
@@ -100,17 +112,17 @@
             core.identity.hello(proof, core.configuration.version),
         )
 
-    @_take.register
-    def _take_welcome(
+    @_on_message.register
+    def _on_welcome(
         self,
         message: Welcome,
         connection: InnerConnection,
     ) -> None:
         self.entry_id = message.entry_id
-        self.owner.welcomed(self)
+        self.owner.on_welcome(self)
 
-    @_take.register
-    def _take_refusal(
+    @_on_message.register
+    def _on_refusal(
         self,
         message: Refusal,
         connection: InnerConnection,
@@ -123,22 +135,24 @@
             detail=message.detail,
         )
 
-    def _broken(self, connection: InnerConnection, detail: str) -> None:
+    def _on_protocol_error(
+        self, connection: InnerConnection, detail: str
+    ) -> None:
         log_event(Event.PEER_ERROR, entry=self.address, detail=detail)
         connection.abort()
 
-    def _closed(self, connection: InnerConnection) -> None:
-        self.owner.closed(self)
+    def _on_closed(self, connection: InnerConnection) -> None:
+        self.owner.on_closed(self)
 
-    def _failed(self, _reason: Any) -> None:
-        self.owner.closed(self)
+    def _on_connect_failed(self, _reason: Any) -> None:
+        self.owner.on_closed(self)
 
 
 class EntryLinks:
-    """Dials the entries that the directory wants, and carries messages."""
+    """Dials the entries that the directory selects, and passes messages."""
 
     def __init__(self, reactor: Any, clock: Clock, secret: str) -> None:
-        """Attach the core before dialling."""
+        """Start without connections; attach the core before dialling."""
         self.reactor = reactor
         self.clock = clock
         self.secret = secret
@@ -149,32 +163,32 @@
 
     @property
     def core(self) -> AgentCore:
-        """The core that takes the messages."""
+        """The core that handles the messages."""
         assert self._core is not None, 'attach the core first'
         return self._core
 
     @property
     def connected(self) -> int:
-        """How many entries are connected."""
+        """The number of connected entries."""
         return len(self._link_by_entry)
 
     def attach(self, core: AgentCore) -> None:
-        """Give messages to this core."""
+        """Pass messages to this core."""
         self._core = core
 
     def dial(self) -> None:
-        """Dial what is due, leave what is not needed; call often."""
+        """Dial entries that are due, close unneeded connections; call often."""
         for address in self.core.directory.due():
             link = _Link(self, address)
             self._open_links.add(link)
             link.dial()
-        for entry_id in self.core.to_leave():
+        for entry_id in self.core.closable_entries():
             link = self._link_by_entry[entry_id]
             if link.connection is not None:
                 link.connection.close()
 
     def send(self, entry_id: str, message: Message) -> bool:
-        """Write a message; False if the entry is not connected."""
+        """Send a message; return False if the entry is not connected."""
         link = self._link_by_entry.get(entry_id)
         if link is None or link.connection is None:
             return False
@@ -182,22 +196,22 @@
         return True
 
     def broadcast(self, message: Message) -> None:
-        """Write a message to every connected entry."""
+        """Send a message to every connected entry."""
         for entry_id in list(self._link_by_entry):
             self.send(entry_id, message)
 
-    def check_silence(self) -> None:
-        """Abort connections on which nothing was heard for too long."""
-        now = self.clock.now()
+    def close_silent_connections(self) -> None:
+        """Abort connections on which nothing was received for too long."""
+        now_ms = self.clock.now()
         for link in list(self._open_links):
-            link.check_silence(now)
+            link.abort_if_silent(now_ms)
 
     def is_current(self, link: _Link) -> bool:
         """Whether this is the newest connection to its entry."""
         return self._link_by_entry.get(link.entry_id) is link
 
-    def welcomed(self, link: _Link) -> None:
-        """An entry has accepted this agent."""
+    def on_welcome(self, link: _Link) -> None:
+        """Use a connection whose entry has accepted this agent."""
         older = self._link_by_entry.get(link.entry_id)
         self._link_by_entry[link.entry_id] = link
         if older is not None and older.connection is not None:
@@ -206,8 +220,8 @@
         self.core.directory.opened(link.address, link.entry_id)
         self.core.on_connected(link.entry_id)
 
-    def closed(self, link: _Link) -> None:
-        """A connection is gone, or could not be made."""
+    def on_closed(self, link: _Link) -> None:
+        """Remove a connection that was closed or could not be made."""
         if link not in self._open_links:
             return
         self._open_links.discard(link)
--- a/hyssopring/agent/queue.py
+++ b/hyssopring/agent/queue.py
@@ -1,4 +1,4 @@
-"""Calls that wait for a slot of a backend server, most urgent first."""
+"""Queue of the calls that wait for a slot of a backend server."""
 
 import bisect
 from dataclasses import dataclass
@@ -10,12 +10,13 @@
 
 __all__ = ('CallQueue',)
 
+# Calls of one service on one VM.
 _MAX_WAITING: Final = 64
 
 
 @dataclass(frozen=True, order=True, slots=True)
-class _Ticket:
-    """Sorts the most urgent first, then the earliest deadline."""
+class _QueuedCall:
+    """A call in the queue, ordered by urgency, then by deadline."""
 
     rank: int
     deadline: float
@@ -23,13 +24,13 @@
 
 
 class CallQueue:
-    """One bounded lane of waiting calls for each service on this VM.
+    """Bounded priority queues of waiting calls, one per service on this VM.
 
-    Guards against the flood of one team: it fills its own service's lane,
-    and calls of other services are still taken.
+    A flood of calls from one team fills only the queues of its own services;
+    calls of other services are still accepted.
 
-    A call that is withdrawn leaves at once: if it stayed until its turn came,
-    a wave of cancellations would fill the queue with calls that are gone.
+    A cancelled call is removed at once. If it stayed until it reached the
+    front, a wave of cancellations would fill the queue with dead calls.
     """
 
     def __init__(
@@ -37,32 +38,35 @@
         backends: Backends,
         max_waiting: int = _MAX_WAITING,
     ) -> None:
-        """Take slots from ``backends`` and count what waits there."""
+        """Find slots in ``backends`` and count queued calls there."""
         self._backends = backends
         self._max_waiting = max_waiting
-        self._lane_by_service: dict[str, list[_Ticket]] = {}
+        self._calls_by_service: dict[str, list[_QueuedCall]] = {}
         self._service_by_id: dict[str, str] = {}
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of queued calls."""
         return len(self._service_by_id)
 
     @property
     def request_ids(self) -> tuple[str, ...]:
-        """The calls that wait, service by service in their order."""
+        """The ids of queued calls, service by service in queue order."""
         return tuple(
-            ticket.request_id
-            for lane in self._lane_by_service.values()
-            for ticket in lane
+            queued.request_id
+            for waiting in self._calls_by_service.values()
+            for queued in waiting
         )
 
     def failure(self, request: CallRequest) -> Failure | None:
-        """Say why a call may not wait, with the time to come back."""
-        lane = self._lane_by_service.get(request.service_name, ())
-        slot_ms = self._backends.slot_ms(request.service_name)
-        wait_ms = (len(lane) + 1) * slot_ms
-        if len(lane) >= self._max_waiting:
-            detail = f'{len(lane)} calls wait already'
+        """Return why a call may not be queued, None if it may.
+
+        The failure contains the time in ms after which to retry.
+        """
+        waiting = self._calls_by_service.get(request.service_name, ())
+        slot_wait_ms = self._backends.mean_slot_wait_ms(request.service_name)
+        wait_ms = (len(waiting) + 1) * slot_wait_ms
+        if len(waiting) >= self._max_waiting:
+            detail = f'{len(waiting)} calls are queued already'
         elif wait_ms >= request.budget_ms:
             detail = f'would wait {wait_ms:.0f} ms of {request.budget_ms:.0f}'
         else:
@@ -70,37 +74,37 @@
         return Failure(ErrorKind.OVERLOADED, detail, max(round(wait_ms), 1))
 
     def push(self, request: CallRequest, deadline: float) -> None:
-        """Let a call wait; nobody waits for it after ``deadline``."""
-        ticket = _Ticket(-request.urgency, deadline, request.request_id)
-        lane = self._lane_by_service.setdefault(request.service_name, [])
-        bisect.insort(lane, ticket)
+        """Queue a call; its caller waits until ``deadline``."""
+        queued = _QueuedCall(-request.urgency, deadline, request.request_id)
+        waiting = self._calls_by_service.setdefault(request.service_name, [])
+        bisect.insort(waiting, queued)
         self._service_by_id[request.request_id] = request.service_name
-        self._backends.queued(request.service_name, 1)
+        self._backends.change_queued(request.service_name, 1)
 
     def discard(self, request_id: str) -> None:
-        """Take out a call, if it waits."""
+        """Remove a call, if it is queued."""
         service_name = self._service_by_id.pop(request_id, None)
         if service_name is None:
             return
         kept = [
-            ticket
-            for ticket in self._lane_by_service[service_name]
-            if ticket.request_id != request_id
+            queued
+            for queued in self._calls_by_service[service_name]
+            if queued.request_id != request_id
         ]
-        self._lane_by_service[service_name] = kept
-        self._backends.queued(service_name, -1)
+        self._calls_by_service[service_name] = kept
+        self._backends.change_queued(service_name, -1)
 
-    def ready(self) -> Iterator[tuple[str, AnnouncedBackend]]:
-        """Take out each call for which a slot is free, with its backend.
+    def take_ready(self) -> Iterator[tuple[str, AnnouncedBackend]]:
+        """Remove each call for which a slot is free, and yield its backend.
 
-        The slot must be taken before the next one is asked for.
+        The slot must be occupied before the iterator is advanced.
         """
-        for service_name, lane in tuple(self._lane_by_service.items()):
-            if not lane:
-                self._lane_by_service.pop(service_name)
-            for ticket in tuple(lane):
+        for service_name, waiting in tuple(self._calls_by_service.items()):
+            if not waiting:
+                self._calls_by_service.pop(service_name)
+            for queued in tuple(waiting):
                 backend = self._backends.free_backend(service_name)
                 if backend is None:
                     break
-                self.discard(ticket.request_id)
-                yield ticket.request_id, backend
+                self.discard(queued.request_id)
+                yield queued.request_id, backend
--- a/hyssopring/agent/tail.py
+++ b/hyssopring/agent/tail.py
@@ -1,4 +1,4 @@
-"""A short-window latency tail of one backend server."""
+"""Tail latency of one backend server over a short window."""
 
 from dataclasses import dataclass, field
 
@@ -7,39 +7,44 @@
 _WINDOW_MS = 4000.0
 _MAX_SAMPLES = 1024
 _MIN_SAMPLES = 20
-_TAIL = 0.95
+_TAIL_FRACTION = 0.95
 
 
 @dataclass(slots=True)
 class TailWindow:
     """The 95th percentile over the last 4 to 8 seconds.
 
-    Two windows take turns: the older one is whole, the newer one fills. A
-    higher percentile would rest on too few calls at the loads of one VM.
+    It covers a complete window and the one that is being filled. At the load
+    of one VM, a higher percentile would be computed from too few calls.
+
+    Attributes:
+        started_at: When the current window began, in ms.
+        current: Latencies of the window that is being filled, in ms.
+        previous: Latencies of the window before it, in ms.
     """
 
     started_at: float = 0
-    filling: list[float] = field(default_factory=list)
-    whole: list[float] = field(default_factory=list)
-
-    def add(self, now: float, took_ms: float) -> None:
-        """Take one call's latency."""
-        self._turn(now)
-        if len(self.filling) < _MAX_SAMPLES:
-            self.filling.append(took_ms)
-
-    def latency_ms(self, now: float) -> float:
-        """Return the tail, or 0 when too few calls ended."""
-        self._turn(now)
-        samples = sorted(self.whole + self.filling)
+    current: list[float] = field(default_factory=list)
+    previous: list[float] = field(default_factory=list)
+
+    def add(self, now_ms: float, took_ms: float) -> None:
+        """Add the latency of one call."""
+        self._rotate(now_ms)
+        if len(self.current) < _MAX_SAMPLES:
+            self.current.append(took_ms)
+
+    def latency_ms(self, now_ms: float) -> float:
+        """Return the tail latency, or 0 if too few calls have finished."""
+        self._rotate(now_ms)
+        samples = sorted(self.previous + self.current)
         if len(samples) < _MIN_SAMPLES:
             return 0
-        return samples[int(len(samples) * _TAIL)]
+        return samples[int(len(samples) * _TAIL_FRACTION)]
 
-    def _turn(self, now: float) -> None:
-        age = now - self.started_at
+    def _rotate(self, now_ms: float) -> None:
+        age = now_ms - self.started_at
         if age < _WINDOW_MS:
             return
-        self.whole = self.filling if age < 2 * _WINDOW_MS else []
-        self.filling = []
-        self.started_at = now
+        self.previous = self.current if age < 2 * _WINDOW_MS else []
+        self.current = []
+        self.started_at = now_ms
--- a/hyssopring/agent/tasks.py
+++ b/hyssopring/agent/tasks.py
@@ -1,24 +1,24 @@
-"""Runs tasks on this VM's worker under leases.
-
-Guards:
-* A start is taken only with the newest epoch seen for its shard, a lease that
-  is good now, an attempt newer than any seen of its task, for the worker's
-  present boot, and only if the ledger can hold it.
-* The worker itself ends a task at its deadline, so a paused or dead agent
-  leaves nothing running.
-* An attempt counts as ended only when the worker says so, or when the last
-  deadline that the worker may have heard of has passed.
-* A finished attempt is reported until a planner says that it is recorded.
+"""Supervise the tasks that run on this VM's worker under leases.
+
+Rules:
+* A start is accepted only with the newest epoch seen for its shard, a valid
+  lease, an attempt number higher than any seen for its task, for the worker's
+  current boot, and only if the ledger has capacity for it.
+* The worker itself ends a task at its deadline, so no task outlives its lease
+  while the agent is paused or after it has crashed.
+* An attempt counts as ended only when the worker reports its end, or when the
+  latest deadline that the worker may have received has passed.
+* A finished attempt is reported until a planner acknowledges the report.
 """
 
 from functools import partial
 from typing import Callable, Sequence
 
 from hyssopring.agent.admission import Admission
+from hyssopring.agent.attempt_tracker import AttemptTracker
 from hyssopring.agent.attempts import Attempt
 from hyssopring.agent.ledger import Ledger
-from hyssopring.agent.making_room import RoomMaker, RunningTask
-from hyssopring.agent.runs import Runs
+from hyssopring.agent.preemption import PreemptionQueue, RunningTask
 from hyssopring.agent.usage import sum_usage
 from hyssopring.agent.worker import Worker, WorkerListing
 from hyssopring.clock import Clock
@@ -38,11 +38,11 @@
 
 __all__ = ('TaskSupervisor',)
 
-_NO_ROOM = 'no room'
+_NO_CAPACITY = 'no room'
 
 
 class TaskSupervisor:
-    """Takes planners' commands and reports to them."""
+    """Executes planners' commands and reports the state of tasks to them."""
 
     def __init__(
         self,
@@ -52,93 +52,120 @@
         worker: Worker,
         report: Callable[[Message], None],
     ) -> None:
-        """Send reports through ``report``, which reaches all entries."""
+        """Connect to the ledger, leases and worker.
+
+        Args:
+            clock: The VM's clock, in milliseconds.
+            ledger: Reserves capacity for tasks.
+            leases: The shard leases that planners granted.
+            worker: Runs the tasks.
+            report: Sends a message to all connected entries.
+        """
         self._ledger = ledger
         self._leases = leases
         self._worker = worker
         self._admission = Admission(clock, leases)
-        self._room = RoomMaker(clock, ledger)
-        self._closed_why = ''
-        self._runs = Runs(
+        self._preemptions = PreemptionQueue(clock, ledger)
+        self._closed_reason = ''
+        self._tracker = AttemptTracker(
             clock,
             ledger,
             leases,
             worker,
             report,
-            self._admission.note,
-            self._ended,
+            self._admission.record_attempt,
+            self._on_attempt_ended,
         )
 
     @property
     def worker_boot(self) -> str:
-        """The worker's boot; empty while the worker does not answer."""
-        return self._runs.worker_boot
+        """The worker's boot id; empty while the worker does not respond."""
+        return self._tracker.worker_boot
 
     @property
     def running(self) -> int:
-        """Tasks that may be running."""
+        """The number of tasks that may be running."""
         return sum(
             not attempt.is_final
-            for attempt in self._runs.attempt_by_task.values()
+            for attempt in self._tracker.attempt_by_task.values()
         )
 
     def statuses(self) -> tuple[TaskStatus, ...]:
-        """Return the state of every task known here."""
+        """Return the status of every known task."""
         return tuple(
-            attempt.status() for attempt in self._runs.attempt_by_task.values()
+            attempt.status()
+            for attempt in self._tracker.attempt_by_task.values()
         )
 
     def usage(self) -> tuple[TaskUsage, ...]:
-        """Return what tasks take here, by template and team."""
+        """Return the resource usage of tasks, by template and team."""
         return sum_usage(
             (attempt.command, attempt.used, attempt.share)
-            for attempt in self._runs.attempt_by_task.values()
+            for attempt in self._tracker.attempt_by_task.values()
             if not attempt.is_final
         )
 
-    def on_grant(self, grant: LeaseGrant, asked_at: float) -> None:
-        """Take or extend a lease."""
-        self._leases.grant(grant, asked_at)
+    def on_grant(self, grant: LeaseGrant, requested_at: float) -> None:
+        """Accept or extend a lease.
+
+        Args:
+            grant: The lease, with its times to live.
+            requested_at: When the heartbeat that it acknowledges was sent;
+                the lease counts from then.
+        """
+        self._leases.grant(grant, requested_at)
 
     def full_report(self, shard: int, epoch: int) -> TaskReport | None:
-        """Name all tasks of a shard, None while that cannot be known."""
-        if not self._runs.worker_boot or not self._leases.accepts(shard, epoch):
+        """Return the complete list of a shard's tasks.
+
+        Returns:
+            None while the worker does not respond or the epoch is outdated.
+        """
+        if not self._tracker.worker_boot or not self._leases.accepts(
+            shard, epoch
+        ):
             return None
         statuses = tuple(
             status for status in self.statuses() if status.shard == shard
         )
-        return TaskReport(statuses, True, shard, epoch, self._runs.worker_boot)
+        return TaskReport(
+            statuses, True, shard, epoch, self._tracker.worker_boot
+        )
 
     def on_start(self, command: StartTask) -> None:
-        """Start a task, or say why not."""
-        known = self._runs.attempt_by_task.get(command.task_id)
-        if known is not None and _settles(known, command):
-            self._runs.tell(known)
+        """Start a task, or report why it is refused."""
+        known = self._tracker.attempt_by_task.get(command.task_id)
+        if known is not None and _is_redundant_start(known, command):
+            self._tracker.send_status(known)
             return
-        why = self._refusal(command, known)
-        self._admission.note(command)
-        if why == _NO_ROOM and self._make_room(command):
+        reason = self._refusal_reason(command, known)
+        self._admission.record_attempt(command)
+        if reason == _NO_CAPACITY and self._preempt_for(command):
             return
-        if why:
-            log_event(Event.TASK_REFUSED, task=command.task_id, why=why)
-            self._runs.tell(Attempt(command, TaskPhase.REFUSED, detail=why))
+        if reason:
+            log_event(Event.TASK_REFUSED, task=command.task_id, why=reason)
+            self._tracker.send_status(
+                Attempt(command, TaskPhase.REFUSED, detail=reason)
+            )
             return
         attempt = Attempt(command, TaskPhase.STARTING)
-        self._runs.attempt_by_task[command.task_id] = attempt
+        self._tracker.attempt_by_task[command.task_id] = attempt
         self._start(attempt)
 
     def on_stop(self, command: StopTask) -> None:
         """Stop a task for its current planner."""
-        attempt = self._runs.attempt_by_task.get(command.task_id)
+        attempt = self._tracker.attempt_by_task.get(command.task_id)
         is_current = self._leases.accepts(command.shard, command.epoch)
         if attempt is None or not is_current:
             return
         if attempt.command.attempt == command.attempt:
-            self._runs.stop(attempt, StopMode(command.mode), 'asked')
+            self._tracker.stop(
+                attempt, StopMode(command.mode), 'requested by its planner'
+            )
 
     def on_throttle(self, command: ThrottleTask) -> None:
-        """Change a task's share of processor time for its planner."""
-        attempt = self._runs.attempt_by_task.get(command.task_id)
+        """Set a task's share of processor time for its current planner."""
+        attempt = self._tracker.attempt_by_task.get(command.task_id)
         is_current = self._leases.accepts(command.shard, command.epoch)
         if attempt is None or not is_current:
             return
@@ -146,101 +173,112 @@
             attempt.share = command.share
             self._worker.throttle(command.task_id, command.share)
 
-    def on_recorded(self, statuses: Sequence[TaskStatus]) -> None:
-        """Forget finished attempts that a planner has recorded."""
+    def on_report_ack(self, statuses: Sequence[TaskStatus]) -> None:
+        """Remove finished attempts that a planner has recorded."""
         for status in statuses:
-            attempt = self._runs.attempt_by_task.get(status.task_id)
+            attempt = self._tracker.attempt_by_task.get(status.task_id)
             if attempt is None or attempt.command.attempt != status.attempt:
                 continue
             if attempt.is_final:
-                self._runs.attempt_by_task.pop(status.task_id)
-                self._runs.drop(attempt.command)
+                self._tracker.attempt_by_task.pop(status.task_id)
+                self._tracker.forget_on_worker(attempt.command)
 
     def on_listing(
         self,
         listing: WorkerListing | None,
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        """Compare with what the worker says; None if it did not answer."""
-        self._runs.on_listing(listing, asked_at)
+        """Reconcile attempts with a listing; None if the worker was silent."""
+        self._tracker.on_listing(listing, requested_at)
 
-    def close(self, why: str, *, keepers: bool = True) -> None:
-        """Take no start and checkpoint what runs, so that planners move it.
+    def close(self, reason: str, *, keepers: bool = True) -> None:
+        """Refuse starts; checkpoint running tasks so that planners move them.
 
         Args:
-            why: Ends up in reports; an empty one opens the VM again.
-            keepers: Whether keepers are to move too, not batch tasks alone.
+            reason: Sent in reports; an empty one accepts starts again.
+            keepers: Whether to checkpoint keepers as well as batch tasks.
         """
-        self._closed_why = why
-        if not why:
+        self._closed_reason = reason
+        if not reason:
             return
-        for attempt in list(self._runs.attempt_by_task.values()):
+        for attempt in list(self._tracker.attempt_by_task.values()):
             if keepers or attempt.kind is TaskKind.BATCH:
-                self._runs.stop(attempt, StopMode.CHECKPOINT, why)
+                self._tracker.stop(attempt, StopMode.CHECKPOINT, reason)
 
     def tick(self) -> None:
-        """Renew deadlines, stop what is about to lapse, report the ended."""
-        self._room.settle()
-        self._runs.tick()
+        """Start queued tasks that fit, and renew or end the others."""
+        self._preemptions.start_ready()
+        self._tracker.tick()
 
     def report_progress(self) -> None:
-        """Tell planners of checkpoints made since; call each 10 s."""
-        self._runs.report_progress()
-
-    def _refusal(self, command: StartTask, known: Attempt | None) -> str:
-        if self._closed_why or not self._runs.worker_boot:
-            return self._closed_why or 'the worker has not answered'
-        why = self._admission.refusal(command, known, self._runs.worker_boot)
-        if why:
-            return why
-        has_room = self._ledger.reserve(command.task_id, command.size)
-        return '' if has_room else _NO_ROOM
+        """Report checkpoints made since the last call; call each 10 s."""
+        self._tracker.report_progress()
+
+    def _refusal_reason(self, command: StartTask, known: Attempt | None) -> str:
+        if self._closed_reason or not self._tracker.worker_boot:
+            return self._closed_reason or 'the worker is not responding'
+        reason = self._admission.refusal_reason(
+            command, known, self._tracker.worker_boot
+        )
+        if reason:
+            return reason
+        is_reserved = self._ledger.reserve(command.task_id, command.size)
+        return '' if is_reserved else _NO_CAPACITY
 
     def _start(self, attempt: Attempt) -> None:
-        """Start what the ledger holds; its lease may have ended meanwhile."""
+        """Start an attempt that has a reservation.
+
+        It is refused if its lease or the worker's boot has ended meanwhile.
+        """
         if attempt.is_final:
             return
-        why = self._admission.lapse(attempt.command)
-        if why or not self._runs.is_here(attempt):
-            why = why or 'the worker was replaced'
-            self._runs.end(attempt, TaskPhase.REFUSED, why)
+        reason = self._admission.lapse_reason(attempt.command)
+        if reason or not self._tracker.is_current_boot(attempt):
+            reason = reason or 'the worker was replaced'
+            self._tracker.end(attempt, TaskPhase.REFUSED, reason)
             return
-        self._runs.start(attempt)
+        self._tracker.start(attempt)
 
-    def _make_room(self, command: StartTask) -> bool:
-        """Checkpoint less urgent batch tasks for an urgent one."""
-        victims = self._room.victims(
+    def _preempt_for(self, command: StartTask) -> bool:
+        """Checkpoint less urgent batch tasks for an urgent one.
+
+        Returns:
+            False if that would not free enough capacity.
+        """
+        victims = self._preemptions.select_victims(
             command,
             [
                 RunningTask(attempt.command, attempt.phase)
-                for attempt in self._runs.attempt_by_task.values()
+                for attempt in self._tracker.attempt_by_task.values()
             ],
         )
         if victims is None:
             return False
         attempt = Attempt(command, TaskPhase.STARTING)
-        self._runs.attempt_by_task[command.task_id] = attempt
-        self._room.add(
+        self._tracker.attempt_by_task[command.task_id] = attempt
+        self._preemptions.add(
             command,
             partial(self._start, attempt),
-            partial(self._runs.end, attempt, TaskPhase.REFUSED, _NO_ROOM),
+            partial(
+                self._tracker.end, attempt, TaskPhase.REFUSED, _NO_CAPACITY
+            ),
         )
-        why = f'makes room for {command.task_id}'
+        reason = f'preempted by {command.task_id}'
         for task_id in victims:
-            self._runs.stop(
-                self._runs.attempt_by_task[task_id],
+            self._tracker.stop(
+                self._tracker.attempt_by_task[task_id],
                 StopMode.CHECKPOINT,
-                why,
+                reason,
             )
         return True
 
-    def _ended(self, attempt: Attempt) -> None:
-        """Its room is free: what waits for room may start."""
-        self._room.forget(attempt.command.task_id)
-        self._room.settle()
+    def _on_attempt_ended(self, attempt: Attempt) -> None:
+        """Start queued tasks that fit into the capacity freed by an attempt."""
+        self._preemptions.discard(attempt.command.task_id)
+        self._preemptions.start_ready()
 
 
-def _settles(known: Attempt, command: StartTask) -> bool:
-    """Whether what is known answers a start: a copy, or it is done."""
-    is_old = known.command.attempt >= command.attempt
-    return is_old or known.phase is TaskPhase.COMPLETED
+def _is_redundant_start(known: Attempt, command: StartTask) -> bool:
+    """Whether a start is a copy, or its task has completed already."""
+    is_known_attempt = known.command.attempt >= command.attempt
+    return is_known_attempt or known.phase is TaskPhase.COMPLETED
--- a/hyssopring/agent/worker.py
+++ b/hyssopring/agent/worker.py
@@ -1,14 +1,15 @@
-"""The platform's worker on this VM, as the agent sees it.
+"""Interface of the platform's worker on this VM.
 
-What the agent relies on:
+The agent relies on these guarantees:
 
 * The worker ends a task by itself at the task's deadline. Deadlines are
-  points of the VM's own clock, which agent and worker share, so a command
-  that was delayed on its way extends nothing.
-* A worker that begins anew has a new boot id. It refuses a start that was
-  meant for another boot.
-* It obeys one agent session at a time: the listing for a new session refuses
-  what an earlier session, the agent's last run, still has under way.
+  absolute times of the VM's clock, which agent and worker share, so a command
+  that was delayed extends no deadline.
+* A worker has a new boot id after each restart. It refuses a start for
+  another boot.
+* The worker serves one agent session at a time: after the first listing for a
+  new session it refuses pending commands of an earlier one, thus of an
+  earlier run of the agent.
 """
 
 from dataclasses import dataclass
@@ -17,18 +18,18 @@
 from hyssopring.protocol.messages import Resources, StartTask
 from hyssopring.tasks import StopMode, TaskPhase
 
-__all__ = ('StopAnswer', 'Worker', 'WorkerListing', 'WorkerTask')
+__all__ = ('StopResponse', 'Worker', 'WorkerListing', 'WorkerTask')
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerTask:
-    """What the worker says of one task.
+    """A task in the worker's listing.
 
     Attributes:
-        command: The start that it was given, kept by the worker.
-        used: What the worker last measured; it lags.
-        share: Share of processor time that the worker leaves it.
-        until: When the worker will end it, on the VM's clock.
+        command: The start command, as stored by the worker.
+        used: The last measured usage, which lags behind.
+        share: The share of processor time that it may use, from 0 to 1.
+        deadline: When the worker ends it, in ms of the VM's clock.
     """
 
     task_id: str
@@ -38,7 +39,7 @@
     command: StartTask
     used: Resources = Resources()
     share: float = 1
-    until: float = 0
+    deadline: float = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopAnswer:
+class StopResponse:
     """How a stopped task ended: it may have completed just before."""
 
     phase: TaskPhase
@@ -58,26 +59,29 @@
 
 
 class Worker(Protocol):
-    """Commands to the worker; an answer of None means that it is unknown."""
+    """Sends commands to the worker.
+
+    A callback gets None if the outcome is unknown.
+    """
 
     def start(
         self,
         command: StartTask,
-        until: float,
+        deadline: float,
         done: Callable[[bool | None], None],
     ) -> None:
-        """Start a task; False if the worker has refused."""
+        """Start a task; ``done`` gets False if the worker has refused."""
 
     def stop(
         self,
         command: StartTask,
         mode: StopMode,
-        done: Callable[[StopAnswer | None], None],
+        done: Callable[[StopResponse | None], None],
     ) -> None:
-        """Stop the attempt of this start, and forget it."""
+        """Stop the attempt of this start and remove it from the listing."""
 
     def throttle(self, task_id: str, share: float) -> None:
-        """Leave a task this share of its processor time; the listing tells."""
+        """Set a task's share of processor time; listings contain the result."""
 
-    def renew(self, until_by_task: Mapping[str, float]) -> None:
+    def renew(self, deadline_by_task: Mapping[str, float]) -> None:
         """Extend the deadlines of running tasks."""
--- a/hyssopring/placement/assigner.py
+++ b/hyssopring/placement/assigner.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Iterable, Sequence
 
-from hyssopring.agent.making_room import URGENT
+from hyssopring.agent.preemption import MIN_PREEMPTING_URGENCY
 from hyssopring.configuration import ServicePolicy
 from hyssopring.logs import Event, log_event
 from hyssopring.placement.interference import (
@@ -205,7 +205,7 @@
             service_name, placement_round.now_ms
         )
         is_limited = not (
-            group.is_keeper or group.policy.urgency >= URGENT
+            group.is_keeper or group.policy.urgency >= MIN_PREEMPTING_URGENCY
         ) and self._interference.is_running(
             slowdown.template, placement_round.now_ms
         )
@@ -242,7 +242,10 @@
             if until_ms > placement_round.now_ms
         ]
         placement = ranking.choose(avoided)
-        if placement.agent is None and group.policy.urgency >= URGENT:
+        if (
+            placement.agent is None
+            and group.policy.urgency >= MIN_PREEMPTING_URGENCY
+        ):
             preempting = place_by_preemption(
                 group.policy,
                 group.size,
--- a/hyssopring/placement/preemption.py
+++ b/hyssopring/placement/preemption.py
@@ -2,7 +2,7 @@
 
 from typing import Collection, Iterable
 
-from hyssopring.agent.making_room import gives_way
+from hyssopring.agent.preemption import is_preemptible
 from hyssopring.configuration import ServicePolicy
 from hyssopring.placement.worker_ranking import Candidate, Placement
 from hyssopring.protocol.messages import Resources
@@ -55,7 +55,7 @@
     preemptible = [
         usage
         for usage in candidate.agent.usage
-        if gives_way(usage.kind, usage.urgency, urgency)
+        if is_preemptible(usage.kind, usage.urgency, urgency)
     ]
     available = candidate.available
     for usage in preemptible:
--- a/standins/virtual/agent.py
+++ b/standins/virtual/agent.py
@@ -91,7 +91,7 @@
                 Link(self.deployment, entry, self, address)
             else:
                 directory.skipped(address)
-        for entry_id in self.core.to_leave():
+        for entry_id in self.core.closable_entries():
             self.link_by_entry[entry_id].close()
         for name, link in list(self.link_by_entry.items()):
             limit = self.core.sessions.silence_timeout_ms(name)
--- a/standins/virtual/worker.py
+++ b/standins/virtual/worker.py
@@ -2,7 +2,7 @@
 
 from dataclasses import asdict
 
-from hyssopring.agent.worker import StopAnswer, WorkerListing, WorkerTask
+from hyssopring.agent.worker import StopResponse, WorkerListing, WorkerTask
 from hyssopring.protocol.messages import Resources
 from hyssopring.tasks import TaskPhase
 from standins.virtual.process import Process
@@ -51,7 +51,7 @@
             ),
             lambda answer: done(
                 answer
-                and StopAnswer(TaskPhase(answer['phase']), answer['checkpoint'])
+                and StopResponse(TaskPhase(answer['phase']), answer['checkpoint'])
             ),
         )
 
--- a/tests/test_agent_calls.py
+++ b/tests/test_agent_calls.py
@@ -31,7 +31,7 @@
             OutcomeMemory(limits),
         )
         self.slots = slots
-        self.executor.sequence = 1
+        self.executor.last_heartbeat = 1
         self.sent = []
         self.runs = []
         self.announce()
@@ -48,7 +48,7 @@
         self.runs.append((request.request_id, done))
 
     def submit(self, request_id, entry='e', budget_ms=1000, after=None):
-        after = self.executor.sequence if after is None else after
+        after = self.executor.last_heartbeat if after is None else after
         self.executor.on_call(
             entry,
             CallRequest(
@@ -114,9 +114,9 @@
 def test_forgotten_request_is_unknown_and_its_copy_does_not_run():
     """The agent has answered so many calls that it has dropped the first
     one's id. Asked about it, it says "not run", and the booking is doubled."""
-    rig = Rig(limits=MemoryLimits(answers=2, answer_bytes=100, ids=3))
+    rig = Rig(limits=MemoryLimits(responses=2, response_bytes=100, ids=3))
     for number in range(20):
-        rig.executor.sequence = number
+        rig.executor.last_heartbeat = number
         rig.submit(f'r{number}')
         rig.answer(f'r{number}')
     assert rig.ask('r19', after=19).outcome == 'answered'
@@ -129,15 +129,15 @@
 
 @pytest.mark.parametrize('size', [10, 60])
 def test_memory_is_bounded_by_bytes_and_count(size):
-    memory = OutcomeMemory(MemoryLimits(answers=5, answer_bytes=100, ids=50))
+    memory = OutcomeMemory(MemoryLimits(responses=5, response_bytes=100, ids=50))
     for number in range(400):
-        memory.keep(
+        memory.add(
             CallResponse(f'{number}', 'answered', 200, (), b'.' * size), 1
         )
-    kept = [number for number in range(400) if memory.answer(f'{number}')]
+    kept = [number for number in range(400) if memory.response_to(f'{number}')]
     assert len(kept) == min(5, 100 // size)
-    assert memory.may_know('399', 2) and not memory.may_know('0', 2)
-    assert memory.may_know('0', 1)
+    assert memory.may_have_seen('399', 2) and not memory.may_have_seen('0', 2)
+    assert memory.may_have_seen('0', 1)
 
 
 def test_cancelled_calls_leave_the_queue():
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -40,13 +40,13 @@
     """A VM gets more work than it holds: its agent was restarted and gave the
     room of a backend server to tasks before that server's next announcement."""
     clock, backends, _ = _announced()
-    assert not backends.is_settled
+    assert not backends.is_discovery_complete
     clock.advance(10_000)
     backends.expire()
-    assert not backends.is_settled
+    assert not backends.is_discovery_complete
     clock.advance(1000)
     backends.expire()
-    assert backends.is_settled
+    assert backends.is_discovery_complete
 
 
 def test_fresh_agent_gives_no_room_to_tasks_until_it_has_listened():
@@ -57,12 +57,12 @@
     backends = Backends(clock, invariants)
     ledger = Ledger(Resources(8, 32, 0), invariants, Metrics())
     sizes = BackendSizes(ledger, backends, ConfigurationState())
-    sizes.account()
+    sizes.update_ledger()
     assert not ledger.reserve('job:0', Resources(1, 1, 0))
     for _ in range(2):
         clock.advance(1000)
         backends.expire()
-    sizes.account()
+    sizes.update_ledger()
     assert ledger.reserve('job:0', Resources(1, 1, 0))
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -169,7 +169,7 @@
     wire.pumps.clear()
     for _ in range(40):
         wire.run(links, 100)
-        links.check_silence()
+        links.close_silent_connections()
         if silent.transport.disconnecting and not wire.pumps:
             silent.connectionLost()
     assert len(wire.pumps) == 1 and links.connected == 1
--- a/tests/test_making_room.py
+++ b/tests/test_making_room.py
@@ -3,7 +3,7 @@
 from hyssopring.agent.ledger import Ledger
 from hyssopring.agent.tail import TailWindow
 from hyssopring.agent.tasks import TaskSupervisor
-from hyssopring.agent.worker import StopAnswer, WorkerListing
+from hyssopring.agent.worker import StopResponse, WorkerListing
 from hyssopring.clock import ManualClock
 from hyssopring.invariants import Invariants
 from hyssopring.leases import ShardLeases
@@ -32,7 +32,7 @@
 
     def stop(self, command, mode, done):
         self.stopping[command.task_id] = lambda checkpoint: done(
-            StopAnswer(TaskPhase.STOPPED, checkpoint)
+            StopResponse(TaskPhase.STOPPED, checkpoint)
         )
 
     def throttle(self, task_id, share):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -213,10 +213,10 @@
     assert queue.request_ids == ('c', 'b', 'a')
     queue.discard('c')
     backends.announce(AnnouncedBackend('b0', SERVICE, '', 1, 64))
-    ready = queue.ready()
+    ready = queue.take_ready()
     request_id, backend = next(ready)
     assert request_id == 'b'
-    backends.started(backend)
+    backends.on_call_started(backend)
     assert next(ready, None) is None
     assert queue.request_ids == ('a',)
 
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -353,10 +353,10 @@
         deployment.run(20)
         used = len(agent.worker.worker.running()) + len(agent.backend_by_name)
         overcommitted = max(overcommitted, used - 16)
-        if agent.core.ledger.is_over:
+        if agent.core.ledger.is_overcommitted:
             assert agent.core.ledger.free.cores < 0
     assert overcommitted <= 3, 'only backends announced on a full VM'
-    assert not agent.core.ledger.is_over
+    assert not agent.core.ledger.is_overcommitted
     done = [counts(deployment, f'job-{number}') for number in range(12)]
     assert done == [{'completed': 4}] * 12
     assert not agent.core.ledger.reserve('t', Resources(14, 1, 0))
