--- a/standins/virtual/worker.py
+++ b/standins/virtual/worker.py
@@ -51,7 +51,9 @@
             ),
             lambda answer: done(
                 answer
-                and StopResponse(TaskPhase(answer['phase']), answer['checkpoint'])
+                and StopResponse(
+                    TaskPhase(answer['phase']), answer['checkpoint']
+                )
             ),
         )
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""The backend servers of a VM, as their agent knows them."""
+"""Tests of the backend servers in their agent's registry and ledger."""
 
 from hyssopring.agent.backend_sizes import BackendSizes
 from hyssopring.agent.backends import AnnouncedBackend, Backends
@@ -10,7 +10,7 @@
 from hyssopring.protocol.messages import Resources
 
 
-def _announced():
+def _announced_backend():
     clock = ManualClock(1000)
     backends = Backends(clock, Invariants(Metrics()))
     announce = lambda: backends.announce(  # noqa: E731
@@ -20,12 +20,14 @@
     return clock, backends, announce
 
 
-def test_agents_own_pause_does_not_free_a_backends_room():
-    """A VM gets more work than it holds: its agent was paused for longer than
-    announcements live, took the backend server that runs on for gone at its
-    first heartbeat, and gave its processors to tasks before the next
-    announcement."""
-    clock, backends, announce = _announced()
+def test_pause_of_the_agent_does_not_free_a_backends_capacity():
+    """An agent is paused for longer than an announcement is valid.
+
+    If it removed the running backend server at its first heartbeat after that,
+    tasks would get its processors before the next announcement, and the VM
+    would be overcommitted.
+    """
+    clock, backends, announce = _announced_backend()
     clock.advance(10_000)
     for _ in range(5):
         backends.expire()
@@ -36,10 +38,13 @@
     assert backends.has_service('trust/booking')
 
 
-def test_fresh_agent_knows_nothing_until_it_has_listened():
-    """A VM gets more work than it holds: its agent was restarted and gave the
-    room of a backend server to tasks before that server's next announcement."""
-    clock, backends, _ = _announced()
+def test_discovery_is_complete_only_after_active_time():
+    """An agent restarts on a VM where backend servers run.
+
+    A pause does not count as time to receive announcements. If it did, tasks
+    would get the capacity of a backend server before its next announcement.
+    """
+    clock, backends, _ = _announced_backend()
     assert not backends.is_discovery_complete
     clock.advance(10_000)
     backends.expire()
@@ -49,9 +54,12 @@
     assert backends.is_discovery_complete
 
 
-def test_fresh_agent_gives_no_room_to_tasks_until_it_has_listened():
-    """A VM gets more work than it holds: its agent was restarted, and a start
-    came before the next announcement of the backend server that runs there."""
+def test_restarted_agent_reserves_nothing_before_discovery_is_complete():
+    """An agent restarts, and a start arrives before the first announcement.
+
+    If the task started, the VM would be overcommitted once the backend server
+    that runs there announces itself.
+    """
     clock = ManualClock(1000)
     invariants = Invariants(Metrics())
     backends = Backends(clock, invariants)
@@ -66,8 +74,8 @@
     assert ledger.reserve('job:0', Resources(1, 1, 0))
 
 
-def test_silent_backend_is_dropped_while_the_agent_listens():
-    clock, backends, _ = _announced()
+def test_silent_backend_is_removed_while_the_agent_is_active():
+    clock, backends, _ = _announced_backend()
     for _ in range(6):
         clock.advance(1000)
         backends.expire()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""The inner port's two shells against each other, without a network."""
+"""Tests of both ends of the inner port, connected without a network."""
 
 import random
 from types import SimpleNamespace
@@ -15,8 +15,8 @@
 from hyssopring.entry.links import AgentLinks
 from hyssopring.membership import EntryDirectory
 from hyssopring.metrics import Metrics
-from hyssopring.protocol import connection as inner
-from hyssopring.protocol import messages as m
+from hyssopring.protocol import connection as protocol_connection
+from hyssopring.protocol import messages
 from standins.virtual import Loop, VirtualCallers, VirtualStore
 from standins.table import Table
 
@@ -24,13 +24,18 @@
 ADDRESS = '10.0.0.1:7000'
 
 
-class Wire:
-    """Leads every dialled address to one entry; keeps the pumps."""
+class InMemoryNetwork:
+    """Connects each dialled address to one entry, in memory.
+
+    Attributes:
+        pumps: One per connection; ``flush`` delivers its messages.
+        is_reachable: Whether dialling succeeds.
+    """
 
     def __init__(self, monkeypatch):
         self.clock = ManualClock(1000)
         self.pumps = []
-        self.is_answering = True
+        self.is_reachable = True
         self.entry_links = AgentLinks(self.clock, SECRET)
         self.entry = EntryCore(
             self.clock,
@@ -48,24 +53,24 @@
         return SimpleNamespace(connect=self.connect)
 
     def connect(self, factory):
-        answer = Deferred()
-        if not self.is_answering:
-            answer.errback(ConnectionError('nobody there'))
-            return answer
+        connecting = Deferred()
+        if not self.is_reachable:
+            connecting.errback(ConnectionError('no response'))
+            return connecting
         client = factory.buildProtocol(None)
         server = self.entry_links.buildProtocol(None)
         pump = connect(
             server, makeFakeServer(server), client, makeFakeClient(client)
         )
         self.pumps.append(pump)
-        return answer
+        return connecting
 
     def agent(self, secret=SECRET, seeds=(ADDRESS,), incarnation='run-1'):
         links = EntryLinks(None, self.clock, secret)
         core = AgentCore(
             self.clock,
             AgentIdentity(
-                'agent-0', incarnation, 'office', 'r', m.Resources(4, 4)
+                'agent-0', incarnation, 'office', 'r', messages.Resources(4, 4)
             ),
             links,
             None,
@@ -85,91 +90,100 @@
 
 
 @pytest.fixture
-def wire(monkeypatch):
-    return Wire(monkeypatch)
+def network(monkeypatch):
+    return InMemoryNetwork(monkeypatch)
 
 
-def test_agent_is_greeted_and_learns_the_entry(wire):
-    links = wire.agent()
-    wire.run(links, 200)
-    assert links.connected == 1 and len(wire.entry.fleet) == 1
-    assert links.core.directory.members == (wire.entry.identity.member,)
+def test_agent_is_accepted_and_records_the_entry(network):
+    links = network.agent()
+    network.run(links, 200)
+    assert links.connected == 1 and len(network.entry.fleet) == 1
+    assert links.core.directory.members == (network.entry.identity.member,)
 
 
 @pytest.mark.parametrize(
-    ('version', 'secret'), [(99, SECRET), (m.PROTOCOL_VERSION, 'a wrong one')]
+    ('version', 'secret'),
+    [(99, SECRET), (messages.PROTOCOL_VERSION, 'a wrong one')],
 )
-def test_refused_agent_backs_off(wire, monkeypatch, version, secret):
-    """After a half-done upgrade a log fills with refusals.
+def test_refused_agent_backs_off(network, monkeypatch, version, secret):
+    """An agent has another protocol version or secret than its entry.
 
-    An agent of another version, or with another secret, dials as fast as one
-    whose entry is being replaced.
+    This happens during an upgrade. Without backoff, its refused connections
+    would fill the log.
     """
-    links = wire.agent(secret=secret)
+    links = network.agent(secret=secret)
     monkeypatch.setattr('hyssopring.agent.core.PROTOCOL_VERSION', version)
-    wire.run(links, 60_000)
-    assert links.connected == 0 and len(wire.entry.fleet) == 0
-    assert 2 <= len(wire.pumps) <= 5
-
-
-def test_what_comes_before_the_greeting_is_refused(wire):
-    server = wire.entry_links.buildProtocol(None)
-    client = inner.InnerConnection(
-        wire.clock,
-        lambda c: None,
-        lambda c, g: None,
-        lambda c, d: None,
-        lambda c: None,
+    network.run(links, 60_000)
+    assert links.connected == 0 and len(network.entry.fleet) == 0
+    assert 2 <= len(network.pumps) <= 5
+
+
+def test_message_before_the_handshake_is_refused(network):
+    server = network.entry_links.buildProtocol(None)
+    client = protocol_connection.InnerConnection(
+        network.clock,
+        lambda connection: None,
+        lambda connection, message: None,
+        lambda connection, detail: None,
+        lambda connection: None,
     )
     pump = connect(
         server, makeFakeServer(server), client, makeFakeClient(client)
     )
-    client.send(m.TaskReport((), complete=True))
+    client.send(messages.TaskReport((), complete=True))
     pump.flush()
     assert server.transport.disconnecting or server.transport.disconnected
 
 
-def test_seed_that_leads_to_a_connected_entry_does_not_replace_it(wire):
-    """Each time that the balancer is tried, calls in flight are in doubt."""
-    links = wire.agent(seeds=('balancer:7000',))
-    wire.run(links, 200)
+def test_seed_that_leads_to_a_connected_entry_does_not_replace_it(network):
+    """A load balancer leads to an entry that is connected already.
+
+    If each new connection replaced the old one, the outcome of the calls in
+    flight would be unknown every time.
+    """
+    links = network.agent(seeds=('balancer:7000',))
+    network.run(links, 200)
     first = links._link_by_entry['entry-0']
-    wire.run(links, 90_000)
-    assert len(wire.pumps) >= 2
+    network.run(links, 90_000)
+    assert len(network.pumps) >= 2
     assert links._link_by_entry['entry-0'] is first
     assert links.connected == 1
 
 
-def test_messages_of_a_replaced_connection_are_ignored_by_both_ends(wire):
-    """A caller gets an answer that a dead connection still delivered.
+def test_messages_of_a_replaced_connection_are_ignored_by_both_ends(network):
+    """Messages arrive on a connection that a newer one has replaced.
 
-    The agent's VM is restored from a pause; a newer connection has taken the
-    place of its old one, on which bytes still arrive.
+    This happens after a pause of the agent's VM. If they were handled, a
+    caller could receive an outdated response.
     """
-    links = wire.agent()
-    wire.run(links, 200)
+    links = network.agent()
+    network.run(links, 200)
     old_client = links._link_by_entry['entry-0'].connection
-    old_server = wire.entry_links._connection_by_agent['agent-0']
-    taken, given = [], []
-    wire.entry.on_message = lambda message, record: taken.append(message)
-    links.core.on_message = lambda message, entry_id: given.append(message)
-    wire.entry_links._connection_by_agent['agent-0'] = object()
+    old_server = network.entry_links._connection_by_agent['agent-0']
+    received_by_entry, received_by_agent = [], []
+    network.entry.on_message = lambda message, record: received_by_entry.append(
+        message
+    )
+    links.core.on_message = lambda message, entry_id: received_by_agent.append(
+        message
+    )
+    network.entry_links._connection_by_agent['agent-0'] = object()
     links._link_by_entry['entry-0'] = object()
-    old_client.send(m.Pong(1))
-    old_server.send(m.Ping(1))
-    wire.pumps[0].flush()
-    assert taken == [] and given == []
+    old_client.send(messages.Pong(1))
+    old_server.send(messages.Ping(1))
+    network.pumps[0].flush()
+    assert received_by_entry == [] and received_by_agent == []
 
 
-def test_silent_connection_is_dialled_again(wire):
-    """Bytes stop for good on an open connection while new ones work."""
-    links = wire.agent()
-    wire.run(links, 200)
+def test_silent_connection_is_dialled_again(network):
+    """An open connection stops delivering bytes while new ones work."""
+    links = network.agent()
+    network.run(links, 200)
     silent = links._link_by_entry['entry-0'].connection
-    wire.pumps.clear()
+    network.pumps.clear()
     for _ in range(40):
-        wire.run(links, 100)
+        network.run(links, 100)
         links.close_silent_connections()
-        if silent.transport.disconnecting and not wire.pumps:
+        if silent.transport.disconnecting and not network.pumps:
             silent.connectionLost()
-    assert len(wire.pumps) == 1 and links.connected == 1
+    assert len(network.pumps) == 1 and links.connected == 1
--- a/tests/test_processes_tasks.py
+++ b/tests/test_processes_tasks.py
@@ -1,6 +1,7 @@
-"""Tasks on real processes that are killed and stopped under short leases.
+"""Tests of tasks on real processes that are killed and paused.
 
-Judged from what the workers themselves logged, all on one machine's clock.
+Leases are short. The tests evaluate the logs of the workers, which use the
+clock of one machine.
 """
 
 import json
@@ -15,40 +16,42 @@
 
 TASKS = 18
 KEEPERS = 9
-# Longer than a lease: no task completes where nobody can report it.
+# Longer than a lease: no task completes where its end can't be reported.
 LONG_MS = 5000.0
 SHORT_MS = 2500.0
 # All tasks are in one shard, so that one entry plans them all.
-SHORT = {
+SHORT_LEASE_SETTINGS = {
     'shards': 1,
     'shard_lease_ms': 3000.0,
     'shard_takeover_ms': 3100.0,
     'batch_lease_ms': 3000.0,
-    # A takeover is mostly quicker, so that keepers run on meanwhile.
+    # Longer than most takeovers, so that keepers continue to run.
     'keeper_lease_ms': 7000.0,
 }
 SIZE = {'cores': 1.0, 'memory_gb': 2.0}
 
 
-class ShortLeases(Deployment):
+class ShortLeaseDeployment(Deployment):
     def write(self, name, settings):
         is_entry = name.startswith('entry')
-        return super().write(name, {**settings, **(SHORT if is_entry else {})})
+        return super().write(
+            name, {**settings, **(SHORT_LEASE_SETTINGS if is_entry else {})}
+        )
 
 
 @dataclass
 class Run:
-    """One attempt on one boot of a worker; without an end it still runs."""
+    """One attempt on one worker process; while it runs, its end is infinite."""
 
     worker: str
     task: str
     start: float
     end: float = float('inf')
-    how: str = ''
+    end_event: str = ''
 
 
 class Workers:
-    """What all workers ran, by their logs; a killed one ends its runs."""
+    """The runs of all workers, from their logs; killing one ends its runs."""
 
     def __init__(self, deployment):
         self.deployment = deployment
@@ -60,58 +63,58 @@
     def runs(self):
         return [run for name in self.names for run in self._runs_of(name)]
 
-    def on(self, number):
-        """Tasks that run now on the newest worker of a VM."""
-        own = [name for name in self.names if name[7] == str(number)]
+    def tasks_on(self, number):
+        """Return the tasks that run now on the newest worker of a VM."""
+        names = [name for name in self.names if name[7] == str(number)]
         return [
             run.task
-            for run in self._runs_of(own[-1])
+            for run in self._runs_of(names[-1])
             if run.end == float('inf')
         ]
 
-    def keepers_up(self):
-        return sum(is_open_keeper(run) for run in self.runs())
+    def running_keepers(self):
+        return sum(is_running_keeper(run) for run in self.runs())
 
     def kill(self, number):
-        """kill -9 of a VM's worker; a fresh one takes its address."""
+        """Kill a VM's worker with SIGKILL; start one at the same address."""
         name = f'worker-{number}'
         process = self.deployment.processes[name]
         process.kill()
         process.wait(5)
         self.killed_at[name] = time.time()
-        fresh = f'{name}-fresh'
-        self.deployment.spawn(fresh, process.args)
-        self.names.append(fresh)
+        replacement = f'{name}-replacement'
+        self.deployment.spawn(replacement, process.args)
+        self.names.append(replacement)
 
     def _runs_of(self, name):
-        found, open_by_task = [], {}
+        runs, open_by_task = [], {}
         for line in self._lines(name):
-            at, what, task = line.split()
-            if what == 'start':
-                open_by_task[task] = Run(name, task, float(at))
-                found.append(open_by_task[task])
-            elif what in ('stop', 'lapse', 'complete'):
+            logged_at, event, task = line.split()
+            if event == 'start':
+                open_by_task[task] = Run(name, task, float(logged_at))
+                runs.append(open_by_task[task])
+            elif event in ('stop', 'lapse', 'complete'):
                 run = open_by_task.pop(task)
-                run.end, run.how = float(at), what
+                run.end, run.end_event = float(logged_at), event
         for run in open_by_task.values():
             run.end = self.killed_at.get(name, run.end)
-        return found
+        return runs
 
     def _lines(self, name):
-        whole, _, _ = (
+        complete_lines, _, _ = (
             (self.deployment.work / f'{name}.log').read_text().rpartition('\n')
         )
-        return whole.splitlines()
+        return complete_lines.splitlines()
 
 
 @pytest.fixture(scope='module')
 def deployment(tmp_path_factory):
-    running = ShortLeases(work=tmp_path_factory.mktemp('tasks'))
+    running = ShortLeaseDeployment(work=tmp_path_factory.mktemp('tasks'))
     running.start()
     try:
         running.wait_ready()
         for key, document in (
-            # The demo's backend servers: of unknown size, they fill a VM.
+            # The demo's backend servers; an unknown size would fill a VM.
             ('template/booking', {'kind': 'service'}),
             ('parameters/trust/booking', {}),
             ('template/long', {'kind': 'batch', 'run_ms': LONG_MS}),
@@ -128,7 +131,7 @@
             )
             assert status == 200, body
             if key == 'template/index':
-                await_true(lambda: has_room(running))
+                await_true(lambda: has_capacity(running))
         yield running
     finally:
         for name, process in running.processes.items():
@@ -142,12 +145,14 @@
     return Workers(deployment)
 
 
-def has_room(deployment):
-    """Whether each VM has room in both entries' eyes: keepers spread."""
+def has_capacity(deployment):
+    """Whether both entries know capacity on each VM; keepers then spread."""
     for entry in range(2):
         _, body = deployment.operate('GET', 'status', entry=entry)
-        free = [each['free_cores'] for each in json.loads(body)['agents']]
-        if len(free) < 3 or min(free) < TASKS / 3:
+        free_cores = [
+            agent['free_cores'] for agent in json.loads(body)['agents']
+        ]
+        if len(free_cores) < 3 or min(free_cores) < TASKS / 3:
             return False
     return True
 
@@ -156,20 +161,20 @@
     return task.startswith('keeper.')
 
 
-def is_open_keeper(run):
+def is_running_keeper(run):
     return is_keeper(run.task) and run.end == float('inf')
 
 
 def await_true(condition, seconds=30):
-    ends = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < ends, 'not in time'
+        assert time.monotonic() < deadline, 'the condition did not hold in time'
         time.sleep(0.05)
 
 
 def submit(deployment, workers, job, template='short'):
-    """Start a job; returns the VMs, those with a keeper and tasks first."""
-    await_true(lambda: workers.keepers_up() == KEEPERS)
+    """Submit a job; return the VMs, those with a keeper and tasks first."""
+    await_true(lambda: workers.running_keepers() == KEEPERS)
     status, body = deployment.operate(
         'POST',
         'jobs',
@@ -178,13 +183,13 @@
     assert status == 200, body
     await_true(lambda: len(runs_of(workers, job)) == TASKS)
 
-    def kinds(number):
-        tasks = workers.on(number)
+    def has_both_kinds(number):
+        tasks = workers.tasks_on(number)
         has_keeper = any(is_keeper(task) for task in tasks)
         return has_keeper and not all(is_keeper(task) for task in tasks)
 
-    vms = sorted(range(3), key=kinds, reverse=True)
-    assert kinds(vms[0]), 'no VM runs both a keeper and tasks'
+    vms = sorted(range(3), key=has_both_kinds, reverse=True)
+    assert has_both_kinds(vms[0]), 'no VM runs both a keeper and tasks'
     return vms
 
 
@@ -192,81 +197,94 @@
     return [run for run in workers.runs() if run.task.startswith(f'{job}:')]
 
 
-def counts(deployment, job, entry):
+def task_counts(deployment, job, entry):
     _, body = deployment.operate('GET', f'jobs/{job}', entry=entry)
     return json.loads(body)['tasks']
 
 
-def judge(deployment, workers, job, entry=0):
-    """The job ends with each task completed once; the keepers are up; and
-    nothing that ever ran on these workers did so in two places at once."""
+def check_job(deployment, workers, job, entry=0):
+    """Check that a job completes and that no run overlaps another.
+
+    Each task completes once, all keepers run, and no task ever ran on two
+    workers at the same time.
+    """
     await_true(
         lambda: (
-            counts(deployment, job, entry) == {'completed': TASKS}
-            and workers.keepers_up() == KEEPERS
+            task_counts(deployment, job, entry) == {'completed': TASKS}
+            and workers.running_keepers() == KEEPERS
         )
     )
-    ended = Counter(
-        run.task for run in runs_of(workers, job) if run.how == 'complete'
+    completions = Counter(
+        run.task for run in runs_of(workers, job) if run.end_event == 'complete'
+    )
+    assert completions == Counter(
+        {f'{job}:{number}': 1 for number in range(TASKS)}
     )
-    assert ended == Counter({f'{job}:{each}': 1 for each in range(TASKS)})
     assert overlaps(workers.runs()) == []
     for log in deployment.work.glob('*.log'):
         assert 'E9001' not in log.read_text(), 'an invariant was violated'
 
 
 def overlaps(runs):
-    """Runs of the same task of which one began before the other's end."""
-    found, last_by_task = [], {}
+    """Return pairs of runs of one task that overlap in time."""
+    pairs, last_by_task = [], {}
     for run in sorted(runs, key=lambda run: run.start):
         last = last_by_task.get(run.task)
         if last is not None and last.end > run.start:
-            found.append((last, run))
+            pairs.append((last, run))
         last_by_task[run.task] = run
-    return found
+    return pairs
+
 
+def test_restarted_agent_adopts_the_tasks_of_its_worker(deployment, workers):
+    """An agent is killed while its worker runs a job's tasks and a keeper.
 
-def test_restarted_agent_goes_on_with_what_its_worker_runs(deployment, workers):
-    """kill -9 of an agent whose worker runs a job's tasks and a keeper. The
-    next one knows nothing; it finds by the worker's listing what still runs
-    and what has completed meanwhile."""
+    The restarted agent has no state. It must determine from the worker's
+    listing which tasks still run and which have completed meanwhile.
+    """
     vm = submit(deployment, workers, 'adopted')[0]
     process = deployment.processes[f'agent-{vm}']
     process.kill()
     process.wait(5)
     deployment.spawn(f'agent-{vm}', process.args)
-    judge(deployment, workers, 'adopted')
+    check_job(deployment, workers, 'adopted')
 
 
 def test_killed_worker_and_paused_agent_at_once(deployment, workers):
-    """On one VM the worker is killed with its tasks and a fresh one starts.
-    On another the agent is stopped past its leases, unaware, and goes on when
-    its tasks run elsewhere. Its worker alone must have ended them in time."""
-    lost, paused, _ = submit(deployment, workers, 'moved', 'long')
-    held = workers.on(paused)
-    assert {is_keeper(task) for task in held} == {True, False}
-    agent = deployment.processes[f'agent-{paused}']
+    """A worker is killed on one VM, and an agent is paused on another.
+
+    A new worker replaces the killed one. The agent resumes after its leases
+    have expired and its tasks run elsewhere; its worker must have ended them
+    by itself in time.
+    """
+    killed_vm, paused_vm, _ = submit(deployment, workers, 'moved', 'long')
+    tasks = workers.tasks_on(paused_vm)
+    assert {is_keeper(task) for task in tasks} == {True, False}
+    agent = deployment.processes[f'agent-{paused_vm}']
     agent.send_signal(signal.SIGSTOP)
     try:
-        workers.kill(lost)
-        await_true(lambda: are_elsewhere(workers, paused, held))
+        workers.kill(killed_vm)
+        await_true(lambda: are_elsewhere(workers, paused_vm, tasks))
     finally:
         agent.send_signal(signal.SIGCONT)
-    judge(deployment, workers, 'moved')
+    check_job(deployment, workers, 'moved')
 
 
-def are_elsewhere(workers, paused, tasks):
-    """Whether all batch tasks of these run, or ran, on other workers."""
+def are_elsewhere(workers, paused_vm, tasks):
+    """Whether each of these batch tasks has run on another worker."""
     others = {
-        run.task for run in workers.runs() if run.worker[7] != str(paused)
+        run.task for run in workers.runs() if run.worker[7] != str(paused_vm)
     }
     return others.issuperset(task for task in tasks if not is_keeper(task))
 
 
-def test_other_entry_takes_over_the_plan(deployment, workers):
-    """kill -9 of the entry that plans, while its tasks run. The other one
-    finds its assignments in the table and the rest in agents' reports;
-    what runs on under its lease meanwhile must not be started again."""
+def test_other_entry_takes_over_planning(deployment, workers):
+    """The planning entry is killed while its tasks run.
+
+    The other entry reads the assignments from the table and the state from
+    agents' reports. Tasks that still run under their leases must not be
+    started again.
+    """
     submit(deployment, workers, 'taken')
     planner = next(
         number
@@ -278,4 +296,4 @@
     process = deployment.processes[f'entry-{planner}']
     process.kill()
     process.wait(5)
-    judge(deployment, workers, 'taken', 1 - planner)
+    check_job(deployment, workers, 'taken', 1 - planner)
--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -1,4 +1,4 @@
-"""Time limits of an HTTP call whose answer comes slowly, or not to its end."""
+"""Tests of the timeouts of an HTTP call with a slow or truncated response."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 class Response:
-    """An answer whose body a test sends piece by piece."""
+    """A response whose body a test sends in chunks."""
 
     code = 200
     headers = SimpleNamespace(getAllRawHeaders=tuple)
@@ -29,8 +29,8 @@
         self._protocol = protocol
         protocol.transport = SimpleNamespace(abortConnection=self._abort)
 
-    def send(self, piece):
-        self._protocol.dataReceived(piece)
+    def send(self, chunk):
+        self._protocol.dataReceived(chunk)
 
     def end(self, reason):
         self._protocol.connectionLost(Failure(reason))
@@ -45,100 +45,100 @@
     return Clock()
 
 
-def begun(clock, **limits):
-    """A call whose answer has begun, its response, and what came of it."""
-    requesting, response, outcomes = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: requesting)
-    calling = fetch(clock, agent, 'GET', 'http://store:1/', **limits)
-    calling.addBoth(outcomes.append)
-    requesting.callback(response)
-    return calling, response, outcomes
+def start_fetch(clock, **limits):
+    """Return a call, its response, which has begun, and its results."""
+    request_deferred, response, results = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request_deferred)
+    call = fetch(clock, agent, 'GET', 'http://store:1/', **limits)
+    call.addBoth(results.append)
+    request_deferred.callback(response)
+    return call, response, results
 
 
-def dribble(clock, response, pieces, pause_s):
-    for _piece in range(pieces):
+def send_slowly(clock, response, chunk_count, pause_s):
+    for _chunk in range(chunk_count):
         clock.advance(pause_s)
         response.send(b'x' * 100)
 
 
-def test_an_answer_that_keeps_coming_is_waited_for(clock):
-    """A large configuration needs 4 s on a narrow link.
+def test_slow_response_that_makes_progress_is_not_aborted(clock):
+    """A large configuration takes 4 s on a slow link.
 
-    It was thrown away at the time limit of the whole call and begun anew,
-    again and again.
+    With a timeout for the complete call, it would be aborted and requested
+    again without end.
     """
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 10, 0.4)
+    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    send_slowly(clock, response, 10, 0.4)
     response.end(ResponseDone())
-    assert [len(answer.body) for answer in outcomes] == [1000]
+    assert [len(result.body) for result in results] == [1000]
 
 
-def test_an_answer_that_stops_coming_is_given_up(clock):
-    """A connection goes silent in the middle of an answer, without an end."""
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 2, 0.4)
+def test_response_that_stalls_is_aborted(clock):
+    """A connection becomes silent in the middle of a response."""
+    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    send_slowly(clock, response, 2, 0.4)
     clock.advance(SILENCE_MS / 1000)
     assert response.is_aborted
-    assert outcomes[0].check(SlowAnswer)
-    assert '200 bytes' in outcomes[0].getErrorMessage()
+    assert results[0].check(SlowAnswer)
+    assert '200 bytes' in results[0].getErrorMessage()
 
 
-def test_the_first_byte_is_waited_for_as_long_as_the_whole_call(clock):
-    """A call for changes begins to answer once there is one."""
+def test_first_byte_has_the_timeout_of_the_complete_call(clock):
+    """A long poll for changes gets its response once there is a change."""
     limits = {'timeout_ms': 2000, 'silence_ms': SILENCE_MS}
-    _calling, response, outcomes = begun(clock, **limits)
+    _call, response, results = start_fetch(clock, **limits)
     clock.advance(1.9)
-    assert not outcomes
+    assert not results
     clock.advance(0.1)
-    assert outcomes[0].check(SlowAnswer)
+    assert results[0].check(SlowAnswer)
     assert response.is_aborted
 
 
-def test_without_a_limit_of_silence_the_whole_answer_is_timed(clock):
-    _calling, response, outcomes = begun(clock, timeout_ms=2000)
-    dribble(clock, response, 4, 0.4)
+def test_without_silence_limit_the_timeout_covers_the_complete_response(clock):
+    _call, response, results = start_fetch(clock, timeout_ms=2000)
+    send_slowly(clock, response, 4, 0.4)
     clock.advance(0.4)
-    assert outcomes[0].check(SlowAnswer)
+    assert results[0].check(SlowAnswer)
 
 
-def test_a_call_that_is_given_up_drops_its_connection(clock):
-    """What is still on its way would fill a narrow link."""
-    calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 1, 0.1)
-    calling.cancel()
+def test_cancelled_call_aborts_its_connection(clock):
+    """Otherwise the rest of the response would occupy a slow link."""
+    call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    send_slowly(clock, response, 1, 0.1)
+    call.cancel()
     assert response.is_aborted
-    assert outcomes[0].check(CancelledError)
+    assert results[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
-def test_a_call_that_is_given_up_before_its_answer_ends_at_once(clock):
+def test_call_cancelled_before_its_response_ends_at_once(clock):
     agent = SimpleNamespace(request=lambda *_request: Deferred())
-    outcomes = []
-    calling = fetch(clock, agent, 'GET', 'http://store:1/')
-    calling.addBoth(outcomes.append)
-    calling.cancel()
-    assert outcomes[0].check(CancelledError)
+    results = []
+    call = fetch(clock, agent, 'GET', 'http://store:1/')
+    call.addBoth(results.append)
+    call.cancel()
+    assert results[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
-def test_an_answer_that_is_cut_is_not_taken_for_whole(clock):
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 1, 0.1)
+def test_truncated_response_is_an_error(clock):
+    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    send_slowly(clock, response, 1, 0.1)
     response.end(ConnectionAborted())
-    assert outcomes[0].check(TruncatedAnswer)
+    assert results[0].check(TruncatedAnswer)
     assert not clock.getDelayedCalls()
 
 
-def test_the_table_service_may_send_its_rows_slowly(clock, monkeypatch):
-    """All rows of a prefix need longer than the call's time limit."""
-    requesting, response, rows = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: requesting)
-    monkeypatch.setattr(client, 'pooled_agent', lambda *_how: agent)
+def test_table_service_may_send_its_rows_slowly(clock, monkeypatch):
+    """Reading all rows of a prefix takes longer than the call's timeout."""
+    request_deferred, response, results = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request_deferred)
+    monkeypatch.setattr(client, 'pooled_agent', lambda *_options: agent)
     transport = client.HttpTransport(clock, 'http://table:1')
-    transport.send_read('jobs/', 1000, rows.append)
-    requesting.callback(response)
-    for piece in (b'{"rows": [', b'["jobs/a", 1, "own", {}', b']]}'):
+    transport.send_read('jobs/', 1000, results.append)
+    request_deferred.callback(response)
+    for chunk in (b'{"rows": [', b'["jobs/a", 1, "own", {}', b']]}'):
         clock.advance(0.8)
-        response.send(piece)
+        response.send(chunk)
     response.end(ResponseDone())
-    assert [row.key for row in rows[0].unwrap()] == ['jobs/a']
+    assert [row.key for row in results[0].unwrap()] == ['jobs/a']
