--- a/bench/peers.py
+++ b/bench/peers.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import LoopingCall
 
 from bench.slopes_processes import SECRET
-from hyssopring.agent.core import HEARTBEAT_MS, AgentIdentity
+from hyssopring.agent.core import HEARTBEAT_INTERVAL_MS, AgentIdentity
 from hyssopring.clock import MonotonicClock
 from hyssopring.protocol import messages as m
 from hyssopring.protocol.connection import InnerConnection, prove
@@ -92,7 +92,9 @@
         if self.is_paced:
             self.beat(connection)
         else:
-            LoopingCall(self.beat, connection).start(HEARTBEAT_MS / 1000)
+            LoopingCall(self.beat, connection).start(
+                HEARTBEAT_INTERVAL_MS / 1000
+            )
 
     def report(self, connection, command, phase):
         status = m.TaskStatus(
--- a/hyssopring/agent/attempt_tracker.py
+++ b/hyssopring/agent/attempt_tracker.py
@@ -235,13 +235,13 @@
         self, attempt: Attempt, deadline_by_task: dict[str, float]
     ) -> None:
         command = attempt.command
-        until = self._leases.until(command.shard, attempt.kind)
-        attempt.deadline = max(attempt.deadline, until)
+        lease_expires_at = self._leases.until(command.shard, attempt.kind)
+        attempt.deadline = max(attempt.deadline, lease_expires_at)
         if attempt.deadline - self._clock.now() <= CHECKPOINT_LEAD_MS:
             log_event(Event.TASK_LAPSED, task=command.task_id)
             self.stop(attempt, StopMode.CHECKPOINT, 'lease lapsed')
-        elif until == attempt.deadline:
-            deadline_by_task[command.task_id] = until
+        elif lease_expires_at == attempt.deadline:
+            deadline_by_task[command.task_id] = lease_expires_at
         if attempt.stop_mode is not None:
             self.stop(attempt, attempt.stop_mode, attempt.stop_reason)
 
--- a/hyssopring/agent/backends.py
+++ b/hyssopring/agent/backends.py
@@ -11,7 +11,7 @@
 __all__ = ('AnnouncedBackend', 'Backends', 'ServiceLoad')
 
 # A backend server whose last announcement is older gets no new calls here, and
-# entries receive that with the next heartbeat.
+# entries are informed by the next heartbeat.
 _ANNOUNCEMENT_TTL_MS = 2000
 # An invariant: no call starts this long after a backend server began to leave
 # or, without that, last announced itself.
@@ -34,10 +34,10 @@
         slots: How many calls may run at once.
         connections: How many connections it accepts.
         leaving: Whether it accepts no new calls.
-        announced_at: When it last announced itself.
+        announced_at: When it last announced itself, in ms of the VM's clock.
+        announced_at_active_ms: The agent's active time at that announcement.
         in_flight: The number of its running calls.
         latency_ms: Moving average of call latency; 0 before the first call.
-        announced_at_active_ms: The agent's active time at that moment.
         tail: The recent latency tail.
         leaving_since: When it began to leave, None if it is not leaving.
     """
--- a/hyssopring/agent/core.py
+++ b/hyssopring/agent/core.py
@@ -9,7 +9,11 @@
 from hyssopring.agent.backends import Backends
 from hyssopring.agent.calls import BackendCaller, CallExecutor
 from hyssopring.agent.ledger import Ledger
-from hyssopring.agent.sessions import HEARTBEAT_MS, EntrySessions, RoutingState
+from hyssopring.agent.sessions import (
+    HEARTBEAT_INTERVAL_MS,
+    EntrySessions,
+    RoutingState,
+)
 from hyssopring.agent.tasks import TaskSupervisor
 from hyssopring.agent.worker import Worker
 from hyssopring.clock import Clock
@@ -40,7 +44,7 @@
     ThrottleTask,
 )
 
-__all__ = ('HEARTBEAT_MS', 'AgentCore', 'AgentIdentity', 'AgentLinks')
+__all__ = ('HEARTBEAT_INTERVAL_MS', 'AgentCore', 'AgentIdentity', 'AgentLinks')
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,8 +52,8 @@
     """The identity of one run of an agent process.
 
     Attributes:
-        incarnation: Unique to each run, as an agent stores no state on disk.
-        rack: The failure domain of the VM within its zone.
+        incarnation: Unique to each run, as an agent keeps no state across runs.
+        rack: The VM's rack in its zone.
         capacity: The resources of the VM that may be reserved.
     """
 
@@ -63,7 +67,7 @@
         """Return the first message that the agent sends on a connection.
 
         Args:
-            proof: Answers the entry's challenge under the shared secret.
+            proof: Response to the entry's challenge, from the shared secret.
             configuration_version: The version that the agent has applied.
         """
         return Hello(
@@ -287,7 +291,7 @@
         """
         self._is_stopping = True
         self.calls.stop()
-        self.tasks.close('agent is stopping')
+        self.tasks.set_closed('agent is stopping')
         self.heartbeat()
 
     def _apply_drain(self) -> None:
@@ -299,9 +303,11 @@
             return
         drain_order = self.configuration.drain(self.identity.agent_id)
         if drain_order is None:
-            self.tasks.close('')
+            self.tasks.set_closed('')
         else:
-            self.tasks.close('its VM is drained', keepers=drain_order.keepers)
+            self.tasks.set_closed(
+                'its VM is drained', keepers=drain_order.keepers
+            )
 
     def _routing_state(self) -> RoutingState:
         """Return the state whose changes are sent without delay."""
--- a/hyssopring/agent/daemon.py
+++ b/hyssopring/agent/daemon.py
@@ -6,7 +6,11 @@
 
 from hyssopring.addresses import parse_address
 from hyssopring.agent.announce import AnnounceResource
-from hyssopring.agent.core import HEARTBEAT_MS, AgentCore, AgentIdentity
+from hyssopring.agent.core import (
+    HEARTBEAT_INTERVAL_MS,
+    AgentCore,
+    AgentIdentity,
+)
 from hyssopring.agent.http_clients import HttpBackendCaller, HttpWorker
 from hyssopring.agent.links import EntryLinks
 from hyssopring.clock import MILLIS_PER_SECOND, Clock, MonotonicClock
@@ -97,7 +101,7 @@
         self._lifecycle.every(_CONNECTIONS_TICK_S, self._tick_connections)
         self._lifecycle.every(_LEASES_TICK_S, self.core.tasks.tick)
         self._lifecycle.every(
-            HEARTBEAT_MS / MILLIS_PER_SECOND,
+            HEARTBEAT_INTERVAL_MS / MILLIS_PER_SECOND,
             self.core.heartbeat,
         )
         self._lifecycle.every(
--- a/hyssopring/agent/preemption.py
+++ b/hyssopring/agent/preemption.py
@@ -70,7 +70,7 @@
             task.command.kind, task.command.urgency, command.urgency
         )
     ]
-    # Largest first needs the fewest; of equal ones the least urgent first.
+    # Largest first needs the fewest; among equal sizes, least urgent first.
     preemptible.sort(
         key=lambda candidate: (-candidate.size.cores, candidate.urgency)
     )
@@ -98,6 +98,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _QueuedStart:
+    """An urgent start that waits until ``deadline`` for its capacity."""
+
     command: StartTask
     deadline: float
     start: Callable[[], None]
--- a/hyssopring/agent/sessions.py
+++ b/hyssopring/agent/sessions.py
@@ -8,10 +8,15 @@
 from hyssopring.membership import silence_timeout_ms
 from hyssopring.protocol.messages import LeaseGrant, TaskReport
 
-__all__ = ('EntrySession', 'EntrySessions', 'HEARTBEAT_MS', 'RoutingState')
-
-# The shortest interval between heartbeats; an entry may ask for a longer one.
-HEARTBEAT_MS: Final = 1000.0
+__all__ = (
+    'EntrySession',
+    'EntrySessions',
+    'HEARTBEAT_INTERVAL_MS',
+    'RoutingState',
+)
+
+# The default and shortest interval; an entry may ask for a longer one.
+HEARTBEAT_INTERVAL_MS: Final = 1000.0
 _MAX_UNACKED_HEARTBEATS: Final = 16
 # Time for an entry to receive that the agent leaves it.
 _CLOSE_DELAY_MS: Final = 3000.0
@@ -24,6 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentReport:
+    """The epoch and time of the last complete report of a shard."""
+
     epoch: int
     at: float
 
@@ -44,7 +51,7 @@
 
     sent_at_by_sequence: dict[int, float] = field(default_factory=dict)
     reported_by_shard: dict[int, _SentReport] = field(default_factory=dict)
-    heartbeat_interval_ms: float = HEARTBEAT_MS
+    heartbeat_interval_ms: float = HEARTBEAT_INTERVAL_MS
     due_at: float = 0
     sent_routing_state: RoutingState = ()
     leaving_since: float | None = None
@@ -99,7 +106,7 @@
         """
         sent_at = self.sent_at_by_sequence.pop(sequence, None)
         if sent_at is not None:
-            self.heartbeat_interval_ms = max(next_ms, HEARTBEAT_MS)
+            self.heartbeat_interval_ms = max(next_ms, HEARTBEAT_INTERVAL_MS)
             self.due_at = sent_at + self.heartbeat_interval_ms
         return sent_at
 
@@ -128,7 +135,9 @@
         """Return the time in ms after which a connection counts as silent."""
         session = self.get(entry_id)
         heartbeat_interval_ms = (
-            HEARTBEAT_MS if session is None else session.heartbeat_interval_ms
+            HEARTBEAT_INTERVAL_MS
+            if session is None
+            else session.heartbeat_interval_ms
         )
         return silence_timeout_ms(heartbeat_interval_ms)
 
@@ -139,8 +148,8 @@
         once if the routing state has changed, for example because a backend
         server is leaving.
         """
-        # Called once per HEARTBEAT_MS: rounds to the nearest call.
-        due_before = self._clock.now() + HEARTBEAT_MS / 2
+        # Called once per HEARTBEAT_INTERVAL_MS: rounds to the nearest call.
+        due_before = self._clock.now() + HEARTBEAT_INTERVAL_MS / 2
         return [
             entry_id
             for entry_id, session in self._session_by_entry.items()
--- a/hyssopring/agent/tasks.py
+++ b/hyssopring/agent/tasks.py
@@ -191,7 +191,7 @@
         """Reconcile attempts with a listing; None if the worker was silent."""
         self._tracker.on_listing(listing, requested_at)
 
-    def close(self, reason: str, *, keepers: bool = True) -> None:
+    def set_closed(self, reason: str, *, keepers: bool = True) -> None:
         """Refuse starts; checkpoint running tasks so that planners move them.
 
         Args:
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -229,7 +229,7 @@
         for node in deployment.agent_by_name.values()
         if node.worker.worker.running()
     ]
-    agent.core.tasks.close('test')
+    agent.core.tasks.set_closed('test')
     run_checked(deployment, 6000)
     assert counts(deployment) == {'completed': 1}
     assert history(deployment, 'start') == ['morning:0', 'morning:0']
