--- a/hyssopring/agent/attempt_tracker.py
+++ b/hyssopring/agent/attempt_tracker.py
@@ -216,7 +216,7 @@
                 self.send_status(attempt)
 
     def _repeat_final_status(self, attempt: Attempt) -> None:
-        """Repeat an unacknowledged final status with exponential backoff.
+        """Repeat an unacknowledged final status with a bounded backoff.
 
         In a long outage no planner acknowledges it; a new planner or
         connection gets a complete report anyway.
--- a/hyssopring/agent/attempts.py
+++ b/hyssopring/agent/attempts.py
@@ -15,8 +15,7 @@
 
     Attributes:
         deadline: The latest deadline that the worker may have received, in
-            milliseconds of the VM's clock; 0 until
-            the start was sent.
+            ms of the VM's clock; 0 until the start was sent.
         start_returned_at: When the start call returned; a listing that was
             requested earlier may not include this attempt.
         is_unconfirmed: The response to the start was lost; the attempt may
