--- a/hyssopring/entry/sending.py
+++ b/hyssopring/entry/call_sender.py
@@ -1,10 +1,10 @@
-"""Sends pending calls to agents: first, again, and elsewhere."""
+"""Sends pending calls to agents: first attempts, retries and failover."""
 
 from dataclasses import replace
 
 from hyssopring.clock import Clock
 from hyssopring.entry.calls import Attempt, Links, PendingCall
-from hyssopring.entry.pending import PendingCalls
+from hyssopring.entry.pending_calls import PendingCalls
 from hyssopring.invariants import Invariants
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import Fleet
@@ -15,12 +15,12 @@
 __all__ = ('CallSender',)
 
 _MAX_ATTEMPTS = 3
-# With less than this left of the caller's time a retry is no help.
+# With less time than this before the deadline, a retry rarely succeeds.
 _MIN_RETRY_MS = 10.0
 
 
 class CallSender:
-    """Chooses a backend server for a call and writes it to its agent."""
+    """Chooses a backend server for a call and sends the call to its agent."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         selector: BackendSelector,
         metrics: Metrics,
     ) -> None:
-        """Take the collaborators."""
+        """Start with a full retry budget."""
         self._clock = clock
         self._fleet = fleet
         self._calls = calls
@@ -41,31 +41,31 @@
         self._budget = RetryBudget()
         self.selector = selector
 
-    def succeeded(self) -> None:
-        """An answer has come: earn a share of one retry."""
+    def on_success(self) -> None:
+        """Credit the retry budget for an answered call."""
         self._budget.on_success()
 
     def choose(self, pending: PendingCall) -> BackendChoice | None:
-        """Return a backend that the call has not been sent to."""
+        """Return a backend server that has not received the call, or None."""
         candidates = [
             view
             for view in self._fleet.backends(pending.call.service_name)
-            if view.agent.incarnation not in pending.tried
+            if view.agent.incarnation not in pending.tried_incarnations
         ]
-        now = self._clock.now()
-        return self.selector.choose(candidates, now)
+        now_ms = self._clock.now()
+        return self.selector.choose(candidates, now_ms)
 
-    def is_open(self, choice: BackendChoice) -> bool:
-        """Whether the chosen backend may still be sent to."""
+    def can_send_to(self, choice: BackendChoice) -> bool:
+        """Whether the chosen backend server is connected and routable."""
         record = choice.backend.agent
         is_connected = self._fleet.agent(record.agent_id) is record
         return is_connected and choice.backend.is_routable
 
     def dispatch(self, pending: PendingCall, choice: BackendChoice) -> None:
-        """Send the call; a keyed one only under its own claim."""
-        agent_run = choice.backend.agent.incarnation
+        """Send the call; a keyed call only to the agent in its claim."""
+        incarnation = choice.backend.agent.incarnation
         if not self._invariants.check(
-            pending.is_claimed_for(agent_run),
+            pending.is_claimed_for(incarnation),
             'a keyed request runs only where its claim says',
             pending.call.request_id,
         ):
@@ -86,38 +86,38 @@
         )
         self._links.send(attempt.agent_id, self._request(pending))
 
-    def resend(self, pending: PendingCall) -> bool:
-        """Retry within the send budget; False if nothing was sent.
+    def retry(self, pending: PendingCall) -> bool:
+        """Retry within the retry budget; False if nothing was sent.
 
-        The budget is asked last: a call that goes nowhere must not use up
-        the retry of one that could.
+        The budget is checked last, so that a call without an eligible backend
+        server spends nothing.
         """
-        choice = self._choose_again(pending)
+        choice = self._choose_for_retry(pending)
         if choice is None or not self._budget.try_spend():
             return False
         self._retry(pending, choice)
         return True
 
-    def rescue(self, pending: PendingCall) -> bool:
+    def fail_over(self, pending: PendingCall) -> bool:
         """Send to another agent; False if there is none or no time left.
 
-        A rescue takes nothing from the send budget. Its first copy was lost
-        with a connection or refused by who is leaving; a service that fails
-        its calls gets no more load by it.
+        Failover spends no retry budget: the earlier attempt was lost with a
+        connection or refused by an agent or backend server that is shutting
+        down, so it adds no load to a service that fails its calls.
         """
-        choice = self._choose_again(pending)
+        choice = self._choose_for_retry(pending)
         if choice is None:
             return False
         self._retry(pending, choice)
         return True
 
-    def repeat(self, pending: PendingCall, attempt: Attempt) -> None:
-        """Send again to the run of the agent that may already have it."""
+    def resend(self, pending: PendingCall, attempt: Attempt) -> None:
+        """Resend to the agent incarnation that may have the call already."""
         self._links.send(attempt.agent_id, self._request(pending))
 
-    def _choose_again(self, pending: PendingCall) -> BackendChoice | None:
-        left = pending.call.deadline - self._clock.now()
-        if pending.sent_count >= _MAX_ATTEMPTS or left < _MIN_RETRY_MS:
+    def _choose_for_retry(self, pending: PendingCall) -> BackendChoice | None:
+        remaining_ms = pending.call.deadline - self._clock.now()
+        if pending.sent_count >= _MAX_ATTEMPTS or remaining_ms < _MIN_RETRY_MS:
             return None
         return self.choose(pending)
 
@@ -131,9 +131,9 @@
         self.dispatch(pending, choice)
 
     def _request(self, pending: PendingCall) -> CallRequest:
-        left = pending.call.deadline - self._clock.now()
+        remaining_ms = pending.call.deadline - self._clock.now()
         return replace(
             pending.request,
-            budget_ms=left,
+            budget_ms=remaining_ms,
             after=pending.attempts[-1].after,
         )
--- a/hyssopring/entry/callers.py
+++ b/hyssopring/entry/callers.py
@@ -1,9 +1,10 @@
-"""The callers' HTTP port (Twisted shell).
+"""The callers' HTTP port, on Twisted.
 
 A caller sends any method to ``/<team>/<template>/<path>``. An error answer is
-JSON with the error kind, whether the request ran, when to come back, and where
-to ask when the outcome is unknown: ``GET /outcome/<request id>``. Each answer
-carries the request id. ``GET /healthz`` tells a balancer whether to send here.
+JSON with the error kind, whether the request ran, when to retry, and, if the
+outcome is unknown, the path of an inquiry: ``GET /outcome/<request id>``. Each
+answer has the request id as a header. ``GET /healthz`` returns to a balancer
+whether it should send requests here.
 """
 
 import json
@@ -18,7 +19,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.entry.calls import Answer
 from hyssopring.entry.core import EntryCore
-from hyssopring.entry.http import BoundedRequest
+from hyssopring.entry.bounded_http import BoundedRequest
 from hyssopring.entry.http_calls import (
     HttpRequest,
     call_from_http,
@@ -37,61 +38,67 @@
 _UNAVAILABLE = 503
 
 
-def _nothing() -> None:
-    """Nobody asked to be told of new work."""
+def _ignore_work() -> None:
+    """Do nothing; the default for ``WaitingCallers.on_work``."""
 
 
 class WaitingCallers:
-    """Callers' open HTTP requests by request id."""
+    """Callers' open HTTP requests by request id.
+
+    Attributes:
+        on_work: Called when a request is added.
+    """
 
     def __init__(self, secret: str) -> None:
-        """Start with none; ``secret`` proves the links to outcomes."""
+        """Start empty; ``secret`` signs the links of inquiries."""
         self._secret = secret
         self._request_by_id: dict[str, Request] = {}
-        self.on_work: Callable[[], None] = _nothing
+        self.on_work: Callable[[], None] = _ignore_work
 
     def add(self, request_id: str, request: Request) -> None:
-        """Remember whom to answer."""
+        """Add a request that awaits its answer."""
         self._request_by_id[request_id] = request
         self.on_work()
 
     def discard(self, request_id: str) -> None:
-        """The caller has gone."""
+        """Remove a request whose caller disconnected."""
         self._request_by_id.pop(request_id, None)
 
     def answer(self, request_id: str, answer: Answer) -> None:
-        """Write the final answer to its own caller."""
+        """Write the final answer to the request's caller."""
         request = self._request_by_id.pop(request_id, None)
         if request is None:
             return
         if answer.failure is None:
             write_answer(request, answer)
         else:
-            write_failure(request, answer.failure, self._link(answer))
+            write_failure(request, answer.failure, self._outcome_link(answer))
 
     def proof(self, request_id: str, agent_id: str) -> str:
-        """Return what shows that this entry made a link."""
+        """Return the signature of an inquiry's link."""
         return prove(self._secret, f'outcome {request_id}', agent_id)[
             :_PROOF_DIGITS
         ]
 
-    def _link(self, answer: Answer) -> str:
-        if not answer.ask_agent:
+    def _outcome_link(self, answer: Answer) -> str:
+        if not answer.outcome_agent_id:
             return ''
-        link = f'/outcome/{answer.ask_id}?agent={answer.ask_agent}'
-        if not answer.ask_is_final:
+        request_id = answer.outcome_request_id
+        agent_id = answer.outcome_agent_id
+        link = f'/outcome/{request_id}?agent={agent_id}'
+        if not answer.is_outcome_final:
             return link
-        proof = self.proof(answer.ask_id, answer.ask_agent)
+        proof = self.proof(request_id, agent_id)
         return f'{link}&proof={proof}'
 
 
 def write_answer(request: Request, answer: Answer) -> None:
-    """Write a backend server's whole answer and finish the request."""
+    """Write a backend server's complete answer and finish the request."""
     request.setResponseCode(answer.status)
     headers = end_to_end(answer.headers)
     names = {header.name.lower() for header in headers}
     for name in names:
-        # The library's own date and server give way to the backend's.
+        # The backend server's Date and Server headers replace Twisted's.
         request.responseHeaders.removeHeader(name)
     for header in headers:
         request.responseHeaders.addRawHeader(
@@ -107,28 +114,32 @@
 
 def write_failure(request: Request, failure: Failure, link: str = '') -> None:
     """Write an error answer and finish the request."""
-    row = failure.answer
+    error_answer = failure.answer
     document = {
         'error': failure.kind.value,
-        'ran': row.run_state.value,
+        'ran': error_answer.run_state.value,
         'detail': failure.detail,
-        'retry_after_ms': row.retry_after_ms,
+        'retry_after_ms': error_answer.retry_after_ms,
     }
     if link:
         document['ask'] = link
     body = json.dumps(document).encode()
-    request.setResponseCode(row.status)
+    request.setResponseCode(error_answer.status)
     request.setHeader('content-type', 'application/json')
     request.setHeader('content-length', str(len(body)))
-    if row.retry_after_ms is not None:
-        seconds = -(-row.retry_after_ms // MILLIS_PER_SECOND)
+    if error_answer.retry_after_ms is not None:
+        seconds = -(-error_answer.retry_after_ms // MILLIS_PER_SECOND)
         request.setHeader('retry-after', str(seconds))
     request.write(body)
     request.finish()
 
 
 class CallerResource(Resource):
-    """Takes callers' requests; every path below it is a service's."""
+    """Handles callers' requests.
+
+    Attributes:
+        is_ready: Whether the entry accepts requests; False while it stops.
+    """
 
     isLeaf = True
 
@@ -139,7 +150,14 @@
         waiting: WaitingCallers,
         default_deadline_ms: float,
     ) -> None:
-        """Give requests to the core's router."""
+        """Route requests through ``core``.
+
+        Args:
+            clock: The clock for deadlines.
+            core: The entry's logic.
+            waiting: The requests that await their answer.
+            default_deadline_ms: Deadline for services that are unknown.
+        """
         super().__init__()
         self._clock = clock
         self._core = core
@@ -148,30 +166,32 @@
         self.is_ready = True
 
     def render(self, request: BoundedRequest) -> int:
-        """Take one HTTP request."""
+        """Handle one HTTP request."""
         request_id = uuid.uuid4().hex
         request.setHeader('Hyssopring-Request-Id', request_id)
         if not self.is_ready:
-            # The balancer's kept connections are to move to other entries.
+            # Makes the balancer move its connections to other entries.
             request.setHeader('connection', 'close')
         if request.path == b'/healthz':
-            self._show_health(request)
+            self._answer_health_check(request)
             return NOT_DONE_YET
         if request.is_too_large:
             write_failure(request, Failure(ErrorKind.TOO_LARGE, 'the body'))
             return NOT_DONE_YET
-        asked = _OUTCOME.fullmatch(request.path)
-        if asked is None:
+        outcome_match = _OUTCOME.fullmatch(request.path)
+        if outcome_match is None:
             self._submit(request, request_id)
         else:
-            self._inquire(request, request_id, asked[1].decode())
+            self._inquire(request, request_id, outcome_match[1].decode())
         return NOT_DONE_YET
 
-    def _show_health(self, request: BoundedRequest) -> None:
-        why_not = self._core.why_not_ready if self.is_ready else 'stopping'
+    def _answer_health_check(self, request: BoundedRequest) -> None:
+        not_ready_reason = (
+            self._core.not_ready_reason if self.is_ready else 'stopping'
+        )
         answer = Answer(
-            _UNAVAILABLE if why_not else _OK,
-            body=f'{why_not or "ready"}\n'.encode(),
+            _UNAVAILABLE if not_ready_reason else _OK,
+            body=f'{not_ready_reason or "ready"}\n'.encode(),
         )
         write_answer(request, answer)
 
@@ -180,12 +200,12 @@
             _http_request(request),
             request_id,
             self._clock.now(),
-            self._allowed_ms,
+            self._deadline_ms,
         )
         if call.is_err():
             write_failure(request, call.unwrap_err())
             return
-        self._wait(request, request_id)
+        self._await_answer(request, request_id)
         self._core.router.submit(call.unwrap())
 
     def _inquire(
@@ -194,26 +214,26 @@
         request_id: str,
         subject: str,
     ) -> None:
-        agent_id = _argument(request, b'agent')
+        agent_id = _query_argument(request, b'agent')
         expected = self._waiting.proof(subject, agent_id)
-        is_final = _argument(request, b'proof') == expected
-        self._wait(request, request_id)
+        is_final = _query_argument(request, b'proof') == expected
+        self._await_answer(request, request_id)
         self._core.router.inquire(
             Inquiry(subject, agent_id, is_final),
             lambda answer: self._waiting.answer(request_id, answer),
         )
 
-    def _wait(self, request: BoundedRequest, request_id: str) -> None:
+    def _await_answer(self, request: BoundedRequest, request_id: str) -> None:
         self._waiting.add(request_id, request)
-        request.notifyFinish().addErrback(self._gone, request_id)
+        request.notifyFinish().addErrback(self._on_disconnect, request_id)
 
-    def _allowed_ms(self, service_name: str) -> float:
+    def _deadline_ms(self, service_name: str) -> float:
         policy = self._core.configuration.policy(service_name)
         return policy.deadline_ms if policy else self._default_deadline_ms
 
-    def _gone(self, _reason: Any, request_id: str) -> None:
+    def _on_disconnect(self, _reason: Any, request_id: str) -> None:
         self._waiting.discard(request_id)
-        self._core.router.forget(request_id)
+        self._core.router.cancel(request_id)
 
 
 def _http_request(request: BoundedRequest) -> HttpRequest:
@@ -230,5 +250,5 @@
     )
 
 
-def _argument(request: BoundedRequest, name: bytes) -> str:
+def _query_argument(request: BoundedRequest, name: bytes) -> str:
     return request.args.get(name, [b''])[0].decode('latin-1')
--- a/hyssopring/entry/calls.py
+++ b/hyssopring/entry/calls.py
@@ -1,4 +1,4 @@
-"""The calls of one entry: values, and the ports to the world around it."""
+"""Calls, their attempts and answers, and the interfaces that carry them."""
 
 import enum
 from dataclasses import dataclass, field
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A caller's request as it came in.
+    """A caller's request as received.
 
     Attributes:
+        path: The path below the service's, with the query.
+        deadline: Clock milliseconds after which the caller has given up.
         key: The caller's idempotency key, or empty.
-        deadline: Clock milliseconds after which the caller is gone.
     """
 
     request_id: str
@@ -41,28 +42,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The whole final answer for a caller.
+    """The complete final answer for a caller.
 
     Attributes:
-        ask_agent: When the outcome is unknown, the agent to ask later.
-        ask_id: And the id under which it knows the call.
-        ask_is_final: Whether nobody else could have run it.
+        status: The HTTP status.
+        failure: The error, or None when a backend server answered.
+        outcome_agent_id: The agent to query later, if the outcome is unknown.
+        outcome_request_id: The request id by which that agent knows the call.
+        is_outcome_final: Whether no other agent could have run the call.
     """
 
     status: int
     headers: tuple[Header, ...] = ()
     body: bytes = b''
     failure: Failure | None = None
-    ask_agent: str = ''
-    ask_id: str = ''
-    ask_is_final: bool = False
+    outcome_agent_id: str = ''
+    outcome_request_id: str = ''
+    is_outcome_final: bool = False
 
 
 class AttemptPhase(enum.Enum):
-    """What an entry knows of one sending of a call.
+    """State of an attempt, as far as the entry knows.
 
-    SENT: on an open connection. LOST: that connection is gone; the call may
-    have run. ASKED: the agent is back and was asked what became of it.
+    Attributes:
+        SENT: Sent on a connection that is still open.
+        LOST: The connection was closed; the call may have run.
+        ASKED: The agent has reconnected and was queried for the outcome.
     """
 
     SENT = 'sent'
@@ -72,17 +77,25 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One sending of a call to one agent.
+    """One attempt of a call at one agent.
+
+    A call whose idempotency key is claimed by an earlier call has an attempt
+    that follows the earlier call: it sends nothing and awaits its outcome.
 
     Attributes:
-        request_id: The id under which the agent knows the call; another
-            call's when this one follows it under the same key.
-        backend: Whose load it counts to, None when it follows.
-        incarnation: The run of the agent that has the call in its memory.
-        after: The agent's last heartbeat heard before it was sent.
-        generation: Connection that an answer is taken from.
-        changed_at: When ``phase`` last changed.
-        is_recalled: The agent was asked to give it back if it still waits.
+        request_id: The id by which the agent knows the call; that of the
+            earlier call if this attempt follows it.
+        backend: The backend server whose load includes the attempt, or None
+            if the attempt follows another call.
+        incarnation: The agent incarnation that has a record of the call.
+        after: Sequence number of the agent's last heartbeat received before
+            the attempt was sent.
+        generation: Connection on which a response is accepted, 0 for none.
+        sent_at: When the attempt was sent, in clock milliseconds.
+        changed_at: When ``phase`` last changed, in clock milliseconds.
+        phase: State of the attempt.
+        is_recalled: Whether the agent was asked to return the call unless it
+            has started.
     """
 
     request_id: str
@@ -101,9 +114,9 @@
         cls,
         request_id: str,
         backend: BackendView,
-        now: float,
+        now_ms: float,
     ) -> 'Attempt':
-        """Return an attempt at a backend server, on its open connection."""
+        """Return an attempt at a backend server over its open connection."""
         record = backend.agent
         return cls(
             request_id,
@@ -112,36 +125,44 @@
             record.incarnation,
             record.sequence,
             record.generation,
-            now,
-            now,
+            now_ms,
+            now_ms,
         )
 
     def is_from(self, record: AgentRecord) -> bool:
-        """Whether this connection's messages are about this attempt."""
+        """Whether the attempt accepts messages of this connection."""
         return (
             self.agent_id == record.agent_id
             and self.generation == record.generation
         )
 
-    def change(self, phase: AttemptPhase, generation: int, now: float) -> None:
-        """Enter a phase, on this connection (0: on none)."""
+    def change(
+        self, phase: AttemptPhase, generation: int, now_ms: float
+    ) -> None:
+        """Enter a phase; ``generation`` is its connection, 0 for none."""
         self.phase = phase
         self.generation = generation
-        self.changed_at = now
+        self.changed_at = now_ms
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that has not had its answer.
+    """A call without a final answer.
 
     Attributes:
-        attempts: Sendings whose outcome is open; several only when idempotent.
-        sent_count: All sendings so far.
-        tried: Incarnations of the agents that it was sent to.
-        row: The claim of the call's key, when it has one.
-        moves: How often the call has tried to take over its key.
-        may_have_run: A closed attempt ended without certainty, so "not run"
-            may not be said any more.
+        request: The message sent to agents, but for its remaining budget.
+        idempotent: Whether the service allows the call to run twice.
+        started_at: When the call was received, in clock milliseconds.
+        attempts: Attempts without a known outcome; several only if the call
+            is idempotent.
+        sent_count: Number of attempts sent so far.
+        tried_incarnations: Agent incarnations that the call was sent to.
+        may_have_run: Whether a closed attempt may have run, so that the call
+            can no longer be reported as not run.
+        claim_row: The claim of the call's key, if there is one.
+        claim_moves: How often the call tried to move its claim to another
+            agent.
+        last_attempt: The latest attempt, open or closed.
     """
 
     call: Call
@@ -150,10 +171,10 @@
     started_at: float
     attempts: list[Attempt] = field(default_factory=list)
     sent_count: int = 0
-    tried: list[str] = field(default_factory=list)
+    tried_incarnations: list[str] = field(default_factory=list)
     may_have_run: bool = False
-    row: ClaimRow | None = None
-    moves: int = 0
+    claim_row: ClaimRow | None = None
+    claim_moves: int = 0
     last_attempt: Attempt | None = None
 
     def is_only_at(self, attempt: Attempt) -> bool:
@@ -162,10 +183,10 @@
         return is_own and not self.idempotent
 
     def is_claimed_for(self, incarnation: str) -> bool:
-        """Whether the call may be sent to this run of an agent."""
+        """Whether the call may be sent to this agent incarnation."""
         if self.idempotent or not self.call.key:
             return True
-        row = self.row
+        row = self.claim_row
         return (
             row is not None
             and row.claim.request_id == self.call.request_id
@@ -177,7 +198,7 @@
         record: AgentRecord,
         request_id: str,
     ) -> Attempt | None:
-        """Return the open attempt that this connection speaks for."""
+        """Return the open attempt with this id on this connection, if any."""
         for attempt in self.attempts:
             if attempt.request_id == request_id and attempt.is_from(record):
                 return attempt
@@ -191,11 +212,11 @@
         """Write a message; False if the agent is not connected."""
 
     def drop(self, agent_id: str) -> None:
-        """Abort an agent's connection; it will dial again."""
+        """Abort an agent's connection; the agent reconnects."""
 
 
 class Callers(Protocol):
-    """Gives callers their answers."""
+    """Delivers answers to callers."""
 
     def answer(self, request_id: str, answer: Answer) -> None:
-        """Give the final answer of one request to its own caller."""
+        """Deliver the final answer of a request to its caller."""
--- a/hyssopring/entry/claim_cleaner.py
+++ b/hyssopring/entry/claim_cleaner.py
@@ -1,9 +1,9 @@
 """Deletes claims that are days old, a bounded number at a time.
 
-No entry looks for a key in a bucket that is three days old, whatever its
-calendar within a day, so a deletion there frees no key that is in use. Entries
-clean without agreement: each picks a bucket and a slice of it by chance, and a
-race for the same rows is one conflict, which is left alone.
+No entry checks a key in a bucket that is three days old, as calendars differ
+by a day at most, so a deletion there releases no key that is in use. Entries
+don't coordinate: each picks a bucket and one of its slices at random, and a
+race for the same rows is a conflict, which is ignored.
 """
 
 import random
@@ -16,14 +16,14 @@
 
 __all__ = ('ClaimCleaner',)
 
-_FIRST_AGE_DAYS = 3
-_LAST_AGE_DAYS = 9
-_SLICES = 256
+_MIN_AGE_DAYS = 3
+_MAX_AGE_DAYS = 9
+_SLICE_COUNT = 256
 _MAX_ROWS = 256
 
 
 class ClaimCleaner:
-    """Reads one slice of an old bucket at a time and deletes its rows."""
+    """Deletes the rows of old buckets, one slice at a time."""
 
     def __init__(
         self,
@@ -31,16 +31,22 @@
         today: Callable[[], int],
         rng: random.Random,
     ) -> None:
-        """Take the store and the calendar of ``ClaimTable``."""
+        """Clean the claims of ``store``.
+
+        Args:
+            store: The table service.
+            today: Returns the number of the current day, as for ``ClaimTable``.
+            rng: Randomness for the choice of a bucket and a slice.
+        """
         self._store = store
         self._today = today
         self._rng = rng
 
     def sweep(self) -> None:
-        """Clean one slice; call every few seconds."""
-        age = self._rng.randint(_FIRST_AGE_DAYS, _LAST_AGE_DAYS)
-        part = self._rng.randrange(_SLICES)
-        prefix = f'claims/{self._today() - age}/{part:02x}/'
+        """Delete the rows of one slice; call every few seconds."""
+        age_days = self._rng.randint(_MIN_AGE_DAYS, _MAX_AGE_DAYS)
+        slice_number = self._rng.randrange(_SLICE_COUNT)
+        prefix = f'claims/{self._today() - age_days}/{slice_number:02x}/'
         self._store.read(prefix, self._delete)
 
     def _delete(self, answer: Result[Sequence[Row], Failure]) -> None:
--- a/hyssopring/entry/claims.py
+++ b/hyssopring/entry/claims.py
@@ -1,19 +1,19 @@
-"""Claims: which request runs under a caller's idempotency key, and where.
+"""Claims of idempotency keys: which request runs under a key, and where.
 
 Before a keyed request that is not idempotent is sent, a row under its key
-names the request id and the run of the agent that will have it. Whoever comes
-with the same key later, through any entry, finds the row and asks that agent.
+records the request id and the agent incarnation that will receive it. A later
+request with the same key, at any entry, finds the row and queries that agent.
 
-Guards:
-* A key is looked for in three days' buckets, so a request that comes again
+* A key is checked in the buckets of three days, so that a request repeated
   after midnight, or at an entry whose calendar differs by a day, finds it.
-* A claim that is no longer needed is marked released, never deleted: versions
-  start again after a deletion, and a compare-and-set that was read before it
-  would take a stranger's claim. The cleaner deletes rows days later.
-* Claims of many requests go in one transaction, one in flight; on a conflict
-  only those in conflict are split off.
-* A commit that hangs is waited for no longer than callers can bear. Nothing
-  was sent, so "not run" is certain; a claim that took effect late is released.
+* A claim that is no longer needed is marked as released, never deleted:
+  versions restart after a deletion, so a compare-and-set with a version read
+  before it could overwrite another request's claim. The cleaner deletes rows
+  days later.
+* The claims of many requests share a transaction, with one in flight. After a
+  conflict, only the claims in conflict are handled separately.
+* A commit has a short timeout. Its requests were not sent, so they certainly
+  did not run; a claim that takes effect after the timeout is released.
 """
 
 import hashlib
@@ -31,14 +31,14 @@
 
 __all__ = ('Claim', 'ClaimRow', 'ClaimTable', 'Claimed', 'Taken')
 
-_BATCH = 128
+_MAX_BATCH_SIZE = 128
 _MAX_WAITING = 2000
-# Between two commits; what comes meanwhile goes together, at the next tick.
-# With a fast table each claim would else be a transaction of its own, and a
-# few entries would take all of its several hundred writes a second.
-_PACE_MS = 15.0
-_PATIENCE_MS = 500.0
-_PROBE_MS = 500.0
+# Minimum interval between commits; claims that arrive in between share the
+# next one. Otherwise, with a fast table, each claim would be a transaction,
+# and a few entries would use up its several hundred writes per second.
+_COMMIT_INTERVAL_MS = 15.0
+_COMMIT_TIMEOUT_MS = 500.0
+_PROBE_INTERVAL_MS = 500.0
 _HASH_DIGITS = 40
 _SLICE_DIGITS = 2
 _PROBE_KEY = 'claims/probe'
@@ -49,8 +49,13 @@
     """The request that runs under a key.
 
     Attributes:
-        after: The agent's last heartbeat heard before the claim.
-        digest: Of the request's content, to refuse another under its key.
+        request_id: The request that has the key.
+        agent_id: The agent that receives the request.
+        incarnation: The incarnation of that agent.
+        after: Sequence number of the agent's last heartbeat received before
+            the claim.
+        digest: Digest of the request's content, which tells a repeated
+            request from another one under the same key.
     """
 
     request_id: str
@@ -69,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """A claim as it stands in the table."""
+    """A claim as stored in the table, with its row key and version."""
 
     key: str
     version: int
@@ -78,14 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Claimed:
-    """The claim is in the table; its request may be sent."""
+    """The claim is stored; its request may be sent."""
 
     row: ClaimRow
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """Another request runs, or ran, under the key."""
+    """Another request has claimed the key; ``row`` is its claim."""
 
     row: ClaimRow
 
@@ -95,6 +100,8 @@
 
 @dataclass(slots=True)
 class _Write:
+    """A claim to store, or a release if ``claim`` is None."""
+
     row_key: str
     checks: tuple[Check, ...]
     claim: Claim | None
@@ -102,7 +109,7 @@
 
     @property
     def subject(self) -> str:
-        """What two writes of one transaction must differ in."""
+        """The key's digest, which is unique within a transaction."""
         return self.row_key.rpartition('/')[2]
 
     def put(self) -> Put:
@@ -127,20 +134,27 @@
         today: Callable[[], int],
         metrics: Metrics,
     ) -> None:
-        """Take the store and the calendar, in days since any origin."""
+        """Start without claims.
+
+        Args:
+            clock: The clock for timeouts.
+            store: The table service.
+            today: Returns the number of the current day, from any origin.
+            metrics: Receives counts of commits and writes.
+        """
         self._clock = clock
         self._store = store
         self._today = today
         self._metrics = metrics
         self._waiting: deque[_Write] = deque()
         self._in_flight: list[_Write] = []
-        self._sent_at = clock.now() - _PACE_MS
+        self._sent_at = clock.now() - _COMMIT_INTERVAL_MS
         self._probed_at: float = 0
         self.is_down = False
 
     @property
     def is_busy(self) -> bool:
-        """Whether a commit may hang, or an outage may end."""
+        """Whether ``tick`` has a commit, a claim or an outage to check."""
         return bool(self._in_flight or self._waiting or self.is_down)
 
     def insert(
@@ -150,44 +164,44 @@
         claim: Claim,
         done: ClaimCallback,
     ) -> None:
-        """Claim a key unless another request has it."""
-        text = f'{service_name}\n{key}'
-        name = hashlib.sha256(text.encode()).hexdigest()[:_HASH_DIGITS]
+        """Claim a key unless another request has claimed it."""
+        scoped_key = f'{service_name}\n{key}'
+        digest = hashlib.sha256(scoped_key.encode()).hexdigest()[:_HASH_DIGITS]
         today = self._today()
         buckets = [
-            f'claims/{day}/{name[:_SLICE_DIGITS]}/{name}'
+            f'claims/{day}/{digest[:_SLICE_DIGITS]}/{digest}'
             for day in (today, today - 1, today + 1)
         ]
         absent = tuple(Check(bucket, 0) for bucket in buckets)
-        self._add(_Write(buckets[0], absent, claim, done))
+        self._enqueue(_Write(buckets[0], absent, claim, done))
 
     def move(self, row: ClaimRow, claim: Claim, done: ClaimCallback) -> None:
-        """Replace a claim whose request is certain never to run."""
+        """Replace a claim whose request certainly never runs."""
         checks = (Check(row.key, row.version),)
-        self._add(_Write(row.key, checks, claim, done))
+        self._enqueue(_Write(row.key, checks, claim, done))
 
     def release(self, row: ClaimRow) -> None:
-        """Free a key whose request is certain never to run; best effort."""
+        """Release a key whose request certainly never runs; best effort."""
         if len(self._waiting) < _MAX_WAITING and not self.is_down:
             checks = (Check(row.key, row.version),)
             self._waiting.append(_Write(row.key, checks, None))
             self._flush()
 
     def tick(self) -> None:
-        """Give up a commit that hangs; look whether an outage is over."""
-        now = self._clock.now()
-        if self._in_flight and now - self._sent_at > _PATIENCE_MS:
+        """Time out a commit; probe whether an outage has ended."""
+        now_ms = self._clock.now()
+        if self._in_flight and now_ms - self._sent_at > _COMMIT_TIMEOUT_MS:
             self._fail_all(Failure(ErrorKind.STORE_UNAVAILABLE, 'no answer'))
         self._flush()
-        if self.is_down and now - self._probed_at > _PROBE_MS:
-            self._probed_at = now
-            self._store.read(_PROBE_KEY, self._probed)
+        if self.is_down and now_ms - self._probed_at > _PROBE_INTERVAL_MS:
+            self._probed_at = now_ms
+            self._store.read(_PROBE_KEY, self._on_probe)
 
-    def _probed(self, answer: Result[object, Failure]) -> None:
+    def _on_probe(self, answer: Result[object, Failure]) -> None:
         if answer.is_ok():
             self.is_down = False
 
-    def _add(self, write: _Write) -> None:
+    def _enqueue(self, write: _Write) -> None:
         if self.is_down:
             failure = Failure(ErrorKind.STORE_UNAVAILABLE, 'the store is down')
             write.finish(Err(failure))
@@ -199,8 +213,12 @@
             self._flush()
 
     def _flush(self) -> None:
-        age = self._clock.now() - self._sent_at
-        if self._in_flight or not self._waiting or age < _PACE_MS:
+        elapsed_ms = self._clock.now() - self._sent_at
+        if (
+            self._in_flight
+            or not self._waiting
+            or elapsed_ms < _COMMIT_INTERVAL_MS
+        ):
             return
         batch = self._next_batch()
         self._in_flight = batch
@@ -212,14 +230,14 @@
                 tuple(check for write in batch for check in write.checks),
                 tuple(write.put() for write in batch),
             ),
-            lambda answer: self._committed(batch, answer),
+            lambda answer: self._on_commit(batch, answer),
         )
 
     def _next_batch(self) -> list[_Write]:
-        """Take waiting writes, of each key the earliest only."""
+        """Remove the next writes from the queue, the earliest of each key."""
         batch: dict[str, _Write] = {}
         later: list[_Write] = []
-        while self._waiting and len(batch) < _BATCH:
+        while self._waiting and len(batch) < _MAX_BATCH_SIZE:
             write = self._waiting.popleft()
             if write.subject in batch:
                 later.append(write)
@@ -228,7 +246,7 @@
         self._waiting.extendleft(reversed(later))
         return list(batch.values())
 
-    def _committed(
+    def _on_commit(
         self,
         batch: list[_Write],
         answer: Result[Committed | Conflict, Failure],
@@ -245,12 +263,12 @@
         outcome = answer.ok_value
         if isinstance(outcome, Committed):
             for write in batch:
-                self._took_effect(write, outcome, is_current)
+                self._finish_committed(write, outcome, is_current)
         elif is_current:
-            self._split(batch, outcome)
+            self._resolve_conflicts(batch, outcome)
         self._flush()
 
-    def _took_effect(
+    def _finish_committed(
         self,
         write: _Write,
         outcome: Committed,
@@ -260,20 +278,20 @@
         if write.claim is None:
             return
         if version is None:
-            # Committed by an earlier copy, and changed by others since.
+            # Committed by an earlier try, and changed by others since.
             self._store.read(
                 write.row_key,
-                lambda answer: self._read_again(write, answer),
+                lambda answer: self._on_reread(write, answer),
             )
             return
         row = ClaimRow(write.row_key, version, write.claim)
         if is_current:
             write.finish(Ok(Claimed(row)))
         else:
-            # Its caller was told "not run" when the commit hung.
+            # The caller received "not run" when the commit timed out.
             self.release(row)
 
-    def _read_again(
+    def _on_reread(
         self,
         write: _Write,
         answer: Result[Iterable[Row], Failure],
@@ -282,12 +300,14 @@
             write.finish(Err(answer.err_value))
             return
         rows = [row for row in answer.ok_value if row.key == write.row_key]
-        self._conflicted(write, rows)
+        self._resolve_conflict(write, rows)
         self._flush()
 
-    def _split(self, batch: list[_Write], conflict: Conflict) -> None:
+    def _resolve_conflicts(
+        self, batch: list[_Write], conflict: Conflict
+    ) -> None:
         row_by_key = {row.key: row for row in conflict.rows}
-        again: list[_Write] = []
+        unaffected: list[_Write] = []
         for write in batch:
             rows = [
                 row_by_key[check.key]
@@ -295,12 +315,12 @@
                 if check.key in row_by_key
             ]
             if rows:
-                self._conflicted(write, rows)
+                self._resolve_conflict(write, rows)
             else:
-                again.append(write)
-        self._waiting.extendleft(reversed(again))
+                unaffected.append(write)
+        self._waiting.extendleft(reversed(unaffected))
 
-    def _conflicted(self, write: _Write, rows: list[Row]) -> None:
+    def _resolve_conflict(self, write: _Write, rows: list[Row]) -> None:
         for row in rows:
             claim = Claim.from_row(row)
             if claim is not None:
@@ -318,8 +338,8 @@
         write.finish(Err(failure))
 
     def _finish_taken(self, write: _Write, row: ClaimRow) -> None:
-        own = write.claim is not None and write.claim == row.claim
-        write.finish(Ok(Claimed(row) if own else Taken(row)))
+        is_own = write.claim is not None and write.claim == row.claim
+        write.finish(Ok(Claimed(row) if is_own else Taken(row)))
 
     def _fail_all(self, failure: Failure) -> None:
         self.is_down = True
--- a/hyssopring/entry/core.py
+++ b/hyssopring/entry/core.py
@@ -1,4 +1,4 @@
-"""The entry's logic without sockets: typed messages in and out."""
+"""The entry's logic, independent of sockets: typed messages in and out."""
 
 import random
 from dataclasses import dataclass
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryIdentity:
-    """Who this entry is, from its settings."""
+    """Identity, zone and addresses of this entry, from its settings."""
 
     entry_id: str
     zone: str
@@ -56,18 +56,18 @@
 
     @property
     def member(self) -> EntryMember:
-        """What agents and other entries are told of this one."""
+        """The record of this entry that agents and other entries receive."""
         return EntryMember(self.entry_id, self.inner_address, self.zone)
 
 
-def _first_day() -> int:
+def _day_zero() -> int:
     return 0
 
 
 class EntryCore:
     """One entry: routing, configuration, membership and planning."""
 
-    def __init__(  # noqa: WPS211 -- each port comes by itself
+    def __init__(  # noqa: WPS211 -- each port is a separate argument
         self,
         clock: Clock,
         identity: EntryIdentity,
@@ -78,18 +78,29 @@
         rng: random.Random,
         shard_settings: ShardSettings = ShardSettings(),
         lease_times: LeaseTimes = LeaseTimes(),
-        today: Callable[[], int] = _first_day,
+        today: Callable[[], int] = _day_zero,
     ) -> None:
-        """Take the ports to agents, callers and the table service.
-
-        ``today`` numbers the days; entries' calendars may differ by one.
+        """Connect the core to agents, callers and the table service.
+
+        Args:
+            clock: The clock for all timeouts.
+            identity: Name, zone and addresses of this entry.
+            store: The table service.
+            links: Sends messages to connected agents.
+            callers: Sends responses to callers.
+            metrics: Receives counters and gauges.
+            rng: Source of randomness for routing and retry delays.
+            shard_settings: Number of shards, and times of their leases.
+            lease_times: Durations of the task leases granted to agents.
+            today: Returns the number of the current day; the calendars of
+                two entries may differ by one day.
         """
         self._clock = clock
         self._links = links
         self.identity = identity
         self._guard = IncarnationGuard(clock)
         self._roster = EntryRoster(clock, identity.member)
-        self._told = EntryList(())
+        self._sent_entry_list = EntryList(())
         self.metrics = metrics
         self._invariants = Invariants(metrics)
         self.fleet = Fleet()
@@ -136,11 +147,11 @@
 
     @property
     def clock(self) -> Clock:
-        """The clock that this entry goes by."""
+        """The clock for all timeouts of this entry."""
         return self._clock
 
-    def refusal(self, hello: Hello) -> Failure | None:
-        """Say why an agent whose proof was good may not connect."""
+    def admission_failure(self, hello: Hello) -> Failure | None:
+        """Return why an authenticated agent may not connect, or None."""
         if hello.version != PROTOCOL_VERSION:
             detail = f'version {hello.version}, not {PROTOCOL_VERSION}'
             return Failure(ErrorKind.PROTOCOL, detail)
@@ -150,7 +161,10 @@
         return Failure(ErrorKind.CONFLICT, detail)
 
     def on_hello(self, hello: Hello) -> AgentRecord:
-        """Take in an agent whose proof was good; it replaces an older link."""
+        """Register an authenticated agent and send it the entry's state.
+
+        The new connection replaces an older one of the same agent.
+        """
         older = self.fleet.agent(hello.agent_id)
         if older is not None:
             self.on_disconnected(older)
@@ -167,12 +181,15 @@
             Welcome(self.identity.entry_id, self.configuration.version),
         )
         self._links.send(hello.agent_id, self._entry_list())
-        self._ask_if_behind(record)
+        self._query_if_behind(record)
         self.router.on_connect(record)
         return record
 
     def on_disconnected(self, record: AgentRecord) -> None:
-        """The connection of this record is gone."""
+        """Remove an agent whose connection was closed.
+
+        Do nothing if a newer connection has replaced this record.
+        """
         if self.fleet.agent(record.agent_id) is not record:
             return
         self.fleet.disconnect(record.agent_id)
@@ -181,19 +198,19 @@
         self.planner.on_disconnected(record.agent_id)
 
     def on_message(self, message: Message, record: AgentRecord) -> None:
-        """Take one message from an agent."""
-        self.router.liveness.heard(record)
-        self._take(message, record)
+        """Handle one message from an agent."""
+        self.router.liveness.on_message(record)
+        self._dispatch(message, record)
 
     @singledispatchmethod
-    def _take(self, message: Message, record: AgentRecord) -> None:
-        """Messages of other kinds than these say only that it lives."""
+    def _dispatch(self, message: Message, record: AgentRecord) -> None:
+        """Ignore other kinds of messages; they only prove liveness."""
 
-    @_take.register
+    @_dispatch.register
     def _on_response(self, message: CallResponse, record: AgentRecord) -> None:
         self.router.on_response(record, message)
 
-    @_take.register
+    @_dispatch.register
     def _on_heartbeat(self, message: Heartbeat, record: AgentRecord) -> None:
         self._invariants.check(
             message.configuration_version >= record.configuration_version,
@@ -201,7 +218,7 @@
             record.agent_id,
         )
         self.fleet.heartbeat(record, message, self._clock.now())
-        self._ask_if_behind(record)
+        self._query_if_behind(record)
         record.is_stopping |= self.configuration.is_drained(record.agent_id)
         self.planner.on_heartbeat(record)
         record.heartbeat_interval_ms = heartbeat_interval_ms(len(self.fleet))
@@ -213,11 +230,11 @@
         )
         self._links.send(record.agent_id, ack)
 
-    @_take.register
+    @_dispatch.register
     def _on_report(self, message: TaskReport, record: AgentRecord) -> None:
         self.planner.on_report(record, message)
 
-    @_take.register
+    @_dispatch.register
     def _on_configuration_query(
         self,
         message: ConfigurationQuery,
@@ -226,7 +243,7 @@
         update = self.configuration.update_since(message.version)
         self._links.send(record.agent_id, update)
 
-    @_take.register
+    @_dispatch.register
     def _on_update(
         self,
         message: ConfigurationUpdate,
@@ -234,43 +251,46 @@
     ) -> None:
         self.configuration_keeper.adopt(message)
 
-    @_take.register
+    @_dispatch.register
     def _on_entry_list(self, message: EntryList, record: AgentRecord) -> None:
         self._roster.heard(message.members)
 
     def tick(self) -> None:
-        """Let deadlines take effect; place waiting tasks."""
+        """Fail calls past their deadline and place waiting tasks."""
         self.expire_calls()
         self.plan()
 
     def expire_calls(self) -> None:
-        """Give up the calls whose time is up; call each 20 ms if any."""
+        """Fail the calls past their deadline; call every 20 ms if any."""
         self.router.tick()
 
     def plan(self) -> None:
-        """Place waiting tasks and write what changed; call each 100 ms."""
+        """Place waiting tasks and write the changes; call every 100 ms."""
         self.planner.tick()
 
-    def drop_silent(self) -> None:
-        """Abort connections on which nothing was heard for too long."""
+    def close_silent_connections(self) -> None:
+        """Abort connections that exceeded their silence timeout."""
         for record in self.fleet.agents:
-            quiet = self.router.liveness.quiet_ms(record)
-            if quiet > silence_timeout_ms(record.heartbeat_interval_ms):
+            silent_ms = self.router.liveness.silent_ms(record)
+            if silent_ms > silence_timeout_ms(record.heartbeat_interval_ms):
                 log_event(Event.CONNECTION_SILENT, agent=record.agent_id)
                 self._links.drop(record.agent_id)
 
     def poll_table(self) -> None:
-        """Read what changed in the table; call each 500 ms."""
+        """Read changes of the table; call every 500 ms."""
         self.configuration_keeper.poll()
         self.planner.poll()
 
     def renew(self) -> None:
-        """Renew this entry's own lease; call each second."""
+        """Renew this entry's own lease; call every second.
+
+        A changed list of entries is sent to all connected agents.
+        """
         registry = self.shards.registry
         self._roster.listed(registry.members)
         entry_list = self._entry_list()
-        if entry_list != self._told:
-            self._told = entry_list
+        if entry_list != self._sent_entry_list:
+            self._sent_entry_list = entry_list
             self.router.admission.entry_count = len(entry_list.members)
             for record in self.fleet.agents:
                 self._links.send(record.agent_id, entry_list)
@@ -279,23 +299,23 @@
         self.shards.poll()
 
     @property
-    def why_not_ready(self) -> str:
-        """Why a balancer should send nothing here, empty if it may."""
-        return self._readiness.why_not
+    def not_ready_reason(self) -> str:
+        """Why a balancer should not send requests here, or empty."""
+        return self._readiness.not_ready_reason
 
     def stop(self) -> None:
-        """Begin a planned stop: nothing new, calls in flight finish."""
+        """Begin a graceful shutdown: refuse new calls, release the shards."""
         self.router.stop()
         self.shards.release()
 
     def _entry_list(self) -> EntryList:
         return EntryList(self._roster.members, self.shards.holders)
 
-    def _ask_if_behind(self, record: AgentRecord) -> None:
-        """Learn the configuration from an agent that is ahead.
+    def _query_if_behind(self, record: AgentRecord) -> None:
+        """Query an agent whose configuration is newer than this entry's.
 
-        A fresh entry has nothing else to learn from while the table service
-        is down; nor has one that was cut from it when a change was accepted.
+        Agents are the only source for an entry that starts while the table
+        service is down, or that could not reach it when a change was accepted.
         """
         if record.configuration_version > self.configuration.version:
             query = ConfigurationQuery(self.configuration.version)
@@ -305,9 +325,9 @@
         for record in self.fleet.agents:
             record.is_stopping |= self.configuration.is_drained(record.agent_id)
             known = record.configuration_version
-            lacking = (
+            missing_update = (
                 update
                 if known == update.base_version
                 else self.configuration.update_since(known)
             )
-            self._links.send(record.agent_id, lacking)
+            self._links.send(record.agent_id, missing_update)
--- a/hyssopring/entry/daemon.py
+++ b/hyssopring/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry process: owns the sockets and timers around the core."""
+"""The entry process: the sockets and timers around the core."""
 
 import random
 import time
@@ -10,8 +10,8 @@
 from hyssopring.entry.callers import CallerResource, WaitingCallers
 from hyssopring.entry.core import EntryCore, EntryIdentity
 from hyssopring.entry.decisions import DecisionLog
-from hyssopring.entry.http import bounded_site
-from hyssopring.entry.jobs import JobDesk
+from hyssopring.entry.bounded_http import bounded_site
+from hyssopring.entry.job_table import JobTable
 from hyssopring.entry.links import AgentLinks
 from hyssopring.entry.operators import OperatorResource
 from hyssopring.leases import ShardSettings
@@ -26,14 +26,14 @@
 
 __all__ = ('EntryDaemon',)
 
-_TICK_S = 0.02
-_PLAN_S = 0.1
-_SILENCE_CHECK_S = 0.25
-_POLL_S = 0.5
-_RENEW_S = 1.0
-_UNGREETED_S = 1.0
-_CLEAN_S = 5.0
-_DAY_S = 86_400
+_CALL_TICK_S = 0.02
+_PLAN_INTERVAL_S = 0.1
+_SILENCE_CHECK_INTERVAL_S = 0.25
+_POLL_INTERVAL_S = 0.5
+_RENEW_INTERVAL_S = 1.0
+_HANDSHAKE_CHECK_INTERVAL_S = 1.0
+_CLEAN_INTERVAL_S = 5.0
+_SECONDS_PER_DAY = 86_400
 
 
 class EntryDaemon:
@@ -45,7 +45,7 @@
         settings: EntrySettings,
         clock: Clock | None = None,
     ) -> None:
-        """Build the core and its shell; ``start`` opens the ports."""
+        """Build the core and its ports; ``start`` opens them."""
         self._reactor = reactor
         self._settings = settings
         self._clock = clock or MonotonicClock()
@@ -60,10 +60,10 @@
         self.core = self._build_core()
         self._links.attach(self.core)
         decisions = DecisionLog()
-        listen_to_events(decisions.take)
+        listen_to_events(decisions.record)
         self._operators = OperatorResource(
             self.core,
-            JobDesk(
+            JobTable(
                 self._store,
                 self.core.configuration,
                 settings.shards,
@@ -74,7 +74,7 @@
         )
         self._waiting.on_work = Ticker(
             reactor,
-            _TICK_S,
+            _CALL_TICK_S,
             self.core.expire_calls,
             lambda: self.core.router.is_busy,
         ).wake
@@ -86,7 +86,7 @@
         )
         self._caller_port: Any = None
         self._lifecycle = Lifecycle(reactor, self._clock, 'entry')
-        self.core.metrics.collect(self._gauge)
+        self.core.metrics.collect(self._update_gauges)
 
     @property
     def links(self) -> AgentLinks:
@@ -105,12 +105,16 @@
             settings.operator_address,
             QuietSite.from_resource(self._operators),
         )
-        self._lifecycle.every(_PLAN_S, self.core.plan)
-        self._lifecycle.every(_SILENCE_CHECK_S, self.core.drop_silent)
-        self._lifecycle.every(_POLL_S, self.core.poll_table)
-        self._lifecycle.every(_UNGREETED_S, self._links.drop_ungreeted)
-        self._lifecycle.every(_RENEW_S, self.core.renew)
-        self._lifecycle.every(_CLEAN_S, self.core.cleaner.sweep)
+        self._lifecycle.every(_PLAN_INTERVAL_S, self.core.plan)
+        self._lifecycle.every(
+            _SILENCE_CHECK_INTERVAL_S, self.core.close_silent_connections
+        )
+        self._lifecycle.every(_POLL_INTERVAL_S, self.core.poll_table)
+        self._lifecycle.every(
+            _HANDSHAKE_CHECK_INTERVAL_S, self._links.close_unauthenticated
+        )
+        self._lifecycle.every(_RENEW_INTERVAL_S, self.core.renew)
+        self._lifecycle.every(_CLEAN_INTERVAL_S, self.core.cleaner.sweep)
         log_event(
             Event.PROCESS_STARTED,
             role='entry',
@@ -125,12 +129,12 @@
         self._operators.is_ready = False
         self._callers.is_ready = False
         log_event(Event.PROCESS_STOPPING, pending=self.core.router.pending)
-        # A balancer that has not noticed yet still sends requests here; each
-        # one refused now would have been served a moment ago.
+        # Until the balancer notices, it still sends requests here. They are
+        # served, as a refusal now would fail them needlessly.
         notice_s = self._settings.notice_ms / MILLIS_PER_SECOND
-        self._reactor.callLater(notice_s, self._end_notice)
+        self._reactor.callLater(notice_s, self._end_notice_period)
 
-    def _end_notice(self) -> None:
+    def _end_notice_period(self) -> None:
         self._caller_port.stopListening()
         self.core.stop()
         self._lifecycle.drain(
@@ -162,14 +166,14 @@
                 batch_ttl_ms=settings.batch_lease_ms,
                 keeper_ttl_ms=settings.keeper_lease_ms,
             ),
-            _today,
+            _day_number,
         )
 
     def _listen(self, address: str, factory: Any) -> Any:
         host, port = parse_address(address)
         return self._reactor.listenTCP(port, factory, interface=host)
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         metrics = self.core.metrics
         gauge_process(metrics)
         traffic = self._links.traffic
@@ -180,5 +184,5 @@
         metrics.gauge('store_reads', self._store.reads)
 
 
-def _today() -> int:
-    return int(time.time() // _DAY_S)
+def _day_number() -> int:
+    return int(time.time() // _SECONDS_PER_DAY)
--- a/hyssopring/entry/decisions.py
+++ b/hyssopring/entry/decisions.py
@@ -1,8 +1,8 @@
 """The latest routing and placement decisions, kept for ``explain``.
 
-Every decision is one numbered log line; the same call feeds these rings, so
-what an operator is told and what the log says cannot differ. The rings are
-bounded: an entry explains what is recent, its log the rest.
+Each decision is one numbered log event, and the same call adds it to these
+ring buffers, so that ``explain`` and the log agree. The buffers are bounded:
+they hold recent events, the log holds all.
 """
 
 import time
@@ -14,12 +14,12 @@
 
 __all__ = ('Decision', 'DecisionLog')
 
-_REQUESTS = 8192
-_TROUBLES = 4096
-_TASKS = 8192
-_SUBJECTS: Final = ('request', 'task', 'job')
-# Kept apart, so that a flood of good requests does not push them out.
-_TROUBLE: Final = frozenset(
+_MAX_REQUEST_EVENTS = 8192
+_MAX_FAILURE_EVENTS = 4096
+_MAX_TASK_EVENTS = 8192
+_SUBJECT_FIELDS: Final = ('request', 'task', 'job')
+# Have a ring buffer of their own, so that successful requests don't evict them.
+_FAILURE_EVENTS: Final = frozenset(
     (
         Event.REQUEST_FAILED,
         Event.REQUEST_REFUSED,
@@ -36,8 +36,10 @@
 
     Attributes:
         at: Seconds since 1970, as in the log.
-        event: Number of the log event, ``what`` its name.
-        where: Agent that was chosen or has answered, or empty.
+        subject: Id of the request, task or job.
+        event: Number of the log event.
+        what: Name of the log event.
+        where: Agent that was chosen or that answered, or empty.
         why: The reason; for an answer its status, error kind and duration.
     """
 
@@ -50,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _KeptEvent:
-    """An event as it was logged; made readable only when asked for."""
+class _LoggedEvent:
+    """An event as logged; formatted only when ``explain`` needs it."""
 
     at: float
     subject: str
@@ -60,59 +62,61 @@
 
 
 class DecisionLog:
-    """Bounded rings of decisions, oldest first."""
+    """Bounded ring buffers of decisions, oldest first."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._requests: deque[_KeptEvent] = deque(maxlen=_REQUESTS)
-        self._troubles: deque[_KeptEvent] = deque(maxlen=_TROUBLES)
-        self._tasks: deque[_KeptEvent] = deque(maxlen=_TASKS)
+        self._requests: deque[_LoggedEvent] = deque(maxlen=_MAX_REQUEST_EVENTS)
+        self._failures: deque[_LoggedEvent] = deque(maxlen=_MAX_FAILURE_EVENTS)
+        self._tasks: deque[_LoggedEvent] = deque(maxlen=_MAX_TASK_EVENTS)
 
-    def take(self, event: Event, fields: Fields) -> None:
-        """Keep an event that is about a request, a task or a job."""
-        subject = _subject(fields)
+    def record(self, event: Event, fields: Fields) -> None:
+        """Add an event if its subject is a request, a task or a job."""
+        subject = _subject_of(fields)
         if subject:
-            kept = _KeptEvent(time.time(), subject, event, fields)
-            self._ring(event, fields).append(kept)
+            logged = _LoggedEvent(time.time(), subject, event, fields)
+            self._ring_for(event, fields).append(logged)
 
     def explain(self, subject: str) -> list[Mapping[str, Any]]:
-        """Return what is kept of one request, task or job, oldest first."""
-        found = [
-            kept
-            for ring in (self._requests, self._troubles, self._tasks)
-            for kept in ring
-            if kept.subject == subject
+        """Return the decisions on a request, task or job, oldest first."""
+        matches = [
+            logged
+            for ring in (self._requests, self._failures, self._tasks)
+            for logged in ring
+            if logged.subject == subject
         ]
-        found.sort(key=lambda kept: kept.at)
-        return [asdict(_decision(kept)) for kept in found]
+        matches.sort(key=lambda logged: logged.at)
+        return [asdict(_build_decision(logged)) for logged in matches]
 
-    def _ring(self, event: Event, fields: Fields) -> deque[_KeptEvent]:
+    def _ring_for(self, event: Event, fields: Fields) -> deque[_LoggedEvent]:
         if 'request' not in fields:
             return self._tasks
-        return self._troubles if event in _TROUBLE else self._requests
+        return self._failures if event in _FAILURE_EVENTS else self._requests
 
 
-def _decision(kept: _KeptEvent) -> Decision:
-    """Make a kept event readable."""
-    shown = {
-        name: found
-        for name, found in kept.fields.items()
-        if name not in {'agent', 'why', *_SUBJECTS}
+def _build_decision(logged: _LoggedEvent) -> Decision:
+    """Return a logged event as a readable decision."""
+    value_by_name = {
+        name: field_value
+        for name, field_value in logged.fields.items()
+        if name not in {'agent', 'why', *_SUBJECT_FIELDS}
     }
-    rest = ' '.join(f'{name}={found}' for name, found in shown.items())
-    why = str(kept.fields.get('why', ''))
+    details = ' '.join(
+        f'{name}={field_value}' for name, field_value in value_by_name.items()
+    )
+    why = str(logged.fields.get('why', ''))
     return Decision(
-        at=kept.at,
-        subject=kept.subject,
-        event=kept.event.value,
-        what=kept.event.name,
-        where=str(kept.fields.get('agent', '')),
-        why=f'{why} ({rest})' if why and rest else why or rest,
+        at=logged.at,
+        subject=logged.subject,
+        event=logged.event.value,
+        what=logged.event.name,
+        where=str(logged.fields.get('agent', '')),
+        why=f'{why} ({details})' if why and details else why or details,
     )
 
 
-def _subject(fields: Fields) -> str:
-    for name in _SUBJECTS:
+def _subject_of(fields: Fields) -> str:
+    for name in _SUBJECT_FIELDS:
         subject = fields.get(name)
         if subject is not None:
             return str(subject)
--- a/hyssopring/entry/hedges.py
+++ b/hyssopring/entry/hedges.py
@@ -1,16 +1,16 @@
-"""Second chances for calls that take long, within the send budget.
+"""Hedges or recalls calls that take long, within the retry budget.
 
-An idempotent call is sent to a second backend server once it is older than
-nearly all others were at their answer. Any other call is recalled: if it
-still waits for a slot, the agent gives it back as certainly not run, and it
-is sent elsewhere; if it runs already, nothing changes.
+An idempotent call is sent to a second backend server once its age exceeds
+the 95th percentile of the service's latency. Any other call is recalled: if
+it still waits for a slot, the agent reports it as not run, and it is sent
+elsewhere; if it runs already, nothing changes.
 """
 
 from typing import Final, Protocol
 
 from hyssopring.clock import Clock
 from hyssopring.entry.calls import Attempt, AttemptPhase, Links, PendingCall
-from hyssopring.entry.pending import PendingCalls
+from hyssopring.entry.pending_calls import PendingCalls
 from hyssopring.logs import Event, log_event
 from hyssopring.metrics import Metrics
 from hyssopring.protocol.messages import CancelCall
@@ -19,18 +19,18 @@
 __all__ = ('HedgeSender', 'Hedges')
 
 _MAX_UTILIZATION: Final = 0.8
-_VERY_LATE: Final = 2
+_VERY_LATE_FACTOR: Final = 2
 
 
 class HedgeSender(Protocol):
     """Sends a call again; ``CallSender``."""
 
-    def resend(self, pending: PendingCall) -> bool:
+    def retry(self, pending: PendingCall) -> bool:
         """Send to another agent; False if nothing was sent."""
 
 
 class Hedges:
-    """Looks through the pending calls of one entry."""
+    """Hedges and recalls the pending calls of one entry."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         sender: HedgeSender,
         metrics: Metrics,
     ) -> None:
-        """Take the collaborators."""
+        """Keep the collaborators; ``tick`` does the work."""
         self._clock = clock
         self._calls = calls
         self._selector = selector
@@ -51,50 +51,54 @@
 
     def tick(self) -> None:
         """Hedge or recall the calls that are late."""
-        now = self._clock.now()
+        now_ms = self._clock.now()
         for pending in self._calls:
             if len(pending.attempts) == 1:
-                self._consider(pending, pending.attempts[0], now)
+                self._check_call(pending, pending.attempts[0], now_ms)
 
-    def _consider(
+    def _check_call(
         self,
         pending: PendingCall,
         attempt: Attempt,
-        now: float,
+        now_ms: float,
     ) -> None:
         if attempt.is_recalled or attempt.phase is not AttemptPhase.SENT:
             return
-        window = self._selector.latency_window(pending.call.service_name)
-        age = now - attempt.sent_at
-        if age < window.p95_ms:
+        latency_window = self._selector.latency_window(
+            pending.call.service_name
+        )
+        age_ms = now_ms - attempt.sent_at
+        if age_ms < latency_window.p95_ms:
             return
         if pending.idempotent:
-            self._hedge(pending, age, window.p95_ms)
+            self._hedge(pending, age_ms, latency_window.p95_ms)
         elif attempt.request_id == pending.call.request_id:
-            self._recall(pending, attempt, age)
+            self._recall(pending, attempt, age_ms)
 
-    def _hedge(self, pending: PendingCall, age: float, p95: float) -> None:
-        # Both copies run to their end, and late calls are the long ones:
-        # with few slots free, hedges would fill them all. The very late are
-        # few, and are hedged also then.
+    def _hedge(
+        self, pending: PendingCall, age_ms: float, p95_ms: float
+    ) -> None:
+        # Both copies run to completion, and late calls tend to be long ones:
+        # with few free slots, hedges would fill them all. Calls that are very
+        # late are few, and are hedged even then.
         service_name = pending.call.service_name
         is_busy = self._selector.utilization(service_name) > _MAX_UTILIZATION
-        if is_busy and age < p95 * _VERY_LATE:
+        if is_busy and age_ms < p95_ms * _VERY_LATE_FACTOR:
             return
-        if not self._sender.resend(pending):
+        if not self._sender.retry(pending):
             return
         self._metrics.count('hedges_total')
         log_event(
             Event.REQUEST_HEDGED,
             request=pending.call.request_id,
-            why=f'unanswered for {age:.0f} ms, p95 is {p95:.0f} ms',
+            why=f'unanswered for {age_ms:.0f} ms, p95 is {p95_ms:.0f} ms',
         )
 
     def _recall(
         self,
         pending: PendingCall,
         attempt: Attempt,
-        age: float,
+        age_ms: float,
     ) -> None:
         attempt.is_recalled = True
         self._metrics.count('recalls_total')
@@ -102,7 +106,7 @@
             Event.REQUEST_RECALLED,
             request=pending.call.request_id,
             agent=attempt.agent_id,
-            why=f'unanswered for {age:.0f} ms',
+            why=f'unanswered for {age_ms:.0f} ms',
         )
         self._links.send(
             attempt.agent_id,
--- a/hyssopring/entry/http_calls.py
+++ b/hyssopring/entry/http_calls.py
@@ -1,7 +1,7 @@
-"""Turns a caller's HTTP request into a call, or says what is wrong with it.
+"""Converts a caller's HTTP request into a call, or a failure if malformed.
 
 The header ``Hyssopring-Deadline-Ms`` shortens the service's deadline, and
-``Idempotency-Key`` names a request that may be submitted again.
+``Idempotency-Key`` identifies a request that may be submitted again.
 """
 
 import re
@@ -16,13 +16,13 @@
 
 __all__ = ('HttpRequest', 'call_from_http', 'end_to_end')
 
-_SERVICE = re.compile('/([a-z0-9-]+/[a-z0-9-]+)(?:(/.*)|$)')
+_SERVICE_PATH = re.compile('/([a-z0-9-]+/[a-z0-9-]+)(?:(/.*)|$)')
 _TARGET = re.compile(rb'[\x21-\x7e]{1,8192}')
 _ORIGIN = re.compile('https?://[^/?]*')
 _METHOD = re.compile(rb'[A-Z]{1,20}')
-_MILLIS = re.compile('[1-9][0-9]{0,8}')
+_DEADLINE = re.compile('[1-9][0-9]{0,8}')
 _KEY = re.compile('[\x21-\x7e]{1,255}')
-# Headers that belong to one hop, not to the message (RFC 9110, 7.6.1).
+# Headers that concern a single connection (RFC 9110, 7.6.1).
 _HOP_HEADERS = frozenset(
     (
         'connection',
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """An HTTP request as it was read; header bytes as latin-1 text."""
+    """An HTTP request as received; header bytes are decoded as latin-1."""
 
     method: bytes
     target: bytes
@@ -51,7 +51,7 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return the first header of this lower-case name."""
+        """Return the first header with this lower-case name, or None."""
         for header in self.headers:
             if header.name.lower() == name:
                 return header.text.strip()
@@ -61,51 +61,55 @@
 def call_from_http(
     request: HttpRequest,
     request_id: str,
-    now: float,
-    allowed_ms: Callable[[str], float],
+    now_ms: float,
+    max_deadline_ms: Callable[[str], float],
 ) -> Result[Call, Failure]:
     """Return the call of ``/<team>/<template>/<path>?<query>``.
 
     Args:
-        request: What the caller sent.
-        request_id: Its fresh id.
-        now: Clock milliseconds.
-        allowed_ms: Gives the longest deadline of a service.
+        request: The request as received.
+        request_id: The new id of the request.
+        now_ms: The time of receipt in clock milliseconds.
+        max_deadline_ms: Returns the longest deadline of a service, in ms.
+
+    Returns:
+        The call, or a failure that names the malformed part.
     """
     if not _METHOD.fullmatch(request.method):
         return _malformed('the method')
     if not _TARGET.fullmatch(request.target):
         return _malformed('the address')
     target = _ORIGIN.sub('', request.target.decode('latin-1'), count=1)
-    path, mark, query = target.partition('?')
-    match = _SERVICE.match(path)
-    if match is None:
+    path, separator, query = target.partition('?')
+    service_match = _SERVICE_PATH.match(path)
+    if service_match is None:
         return Err(Failure(ErrorKind.NOT_FOUND, 'use /<team>/<template>/...'))
-    asked = request.header('hyssopring-deadline-ms')
-    if asked is not None and not _MILLIS.fullmatch(asked):
+    deadline_header = request.header('hyssopring-deadline-ms')
+    if deadline_header is not None and not _DEADLINE.fullmatch(deadline_header):
         return _malformed('Hyssopring-Deadline-Ms')
     key = request.header('idempotency-key')
     if key is not None and not _KEY.fullmatch(key):
         return _malformed('Idempotency-Key')
-    longest = allowed_ms(match[1])
+    longest_ms = max_deadline_ms(service_match[1])
     return Ok(
         Call(
             request_id=request_id,
-            service_name=match[1],
+            service_name=service_match[1],
             method=request.method.decode('latin-1'),
-            path=(match[2] or '/') + mark + query,
+            path=(service_match[2] or '/') + separator + query,
             headers=end_to_end(request.headers),
             body=request.body,
-            deadline=now + min(longest, float(asked or longest)),
+            deadline=now_ms
+            + min(longest_ms, float(deadline_header or longest_ms)),
             key=key or '',
         )
     )
 
 
 def end_to_end(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return the headers without those that belong to one hop."""
+    """Return the headers without those that concern a single connection."""
     headers = tuple(headers)
-    nominated = {
+    listed_names = {
         name.strip().lower()
         for header in headers
         if header.name.lower() == 'connection'
@@ -114,7 +118,7 @@
     return tuple(
         header
         for header in headers
-        if header.name.lower() not in _HOP_HEADERS | nominated
+        if header.name.lower() not in _HOP_HEADERS | listed_names
     )
 
 
--- a/hyssopring/entry/inquiries.py
+++ b/hyssopring/entry/inquiries.py
@@ -1,8 +1,8 @@
-"""Asks agents what became of a request whose outcome was unknown.
+"""Queries agents for the outcome of a request whose outcome was unknown.
 
-The agents only look, so that asking changes nothing. "Not run" is passed on
-only when the caller's link shows that this agent was the last that could have
-run the request; another agent's "not run" would be no certainty.
+Agents only look up the request, so a query changes nothing. "Not run" is
+passed on only if the caller's link proves that no other agent could have run
+the request; otherwise "not run" from one agent confirms nothing.
 """
 
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 __all__ = ('RUNNING', 'AnswerCallback', 'Inquiries', 'Inquiry')
 
-_WAIT_MS = 1000.0
+_RESPONSE_TIMEOUT_MS = 1000.0
 _MAX_AGENTS = 64
 _MAX_OPEN = 1000
 _ACCEPTED = 202
@@ -29,11 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Inquiry:
-    """What a caller asks about.
+    """A caller's inquiry about a request.
 
     Attributes:
-        agent_id: The agent to ask, or empty for all that are connected.
-        is_final: Whether that agent's "not run" is final.
+        request_id: The request whose outcome is unknown.
+        agent_id: The agent to query, or empty for all connected agents.
+        is_final: Whether "not run" from that agent is final.
     """
 
     request_id: str
@@ -42,7 +43,9 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenInquiry:
+    """An inquiry that awaits responses on the connections ``generations``."""
+
     inquiry: Inquiry
     done: AnswerCallback
     deadline: float
@@ -53,76 +56,87 @@
     """Open inquiries of callers."""
 
     def __init__(self, clock: Clock, fleet: Fleet, links: Links) -> None:
-        """Start with none."""
+        """Start without inquiries."""
         self._clock = clock
         self._fleet = fleet
         self._links = links
-        self._open: list[_Open] = []
+        self._open: list[_OpenInquiry] = []
 
     @property
     def is_busy(self) -> bool:
-        """Whether a caller waits."""
+        """Whether any inquiry is open."""
         return bool(self._open)
 
     def ask(self, inquiry: Inquiry, done: AnswerCallback) -> None:
-        """Call ``done`` once, with the answer for the caller."""
+        """Query the agents; call ``done`` once, with the caller's answer."""
         if len(self._open) >= _MAX_OPEN:
-            done(_failed(ErrorKind.OVERLOADED, 'too many inquiries'))
+            done(
+                _build_failure_answer(
+                    ErrorKind.OVERLOADED, 'too many inquiries'
+                )
+            )
             return
-        opened = _Open(inquiry, done, self._clock.now() + _WAIT_MS)
+        open_inquiry = _OpenInquiry(
+            inquiry, done, self._clock.now() + _RESPONSE_TIMEOUT_MS
+        )
         query = OutcomeQuery(inquiry.request_id, peek=True)
-        for record in self._asked(inquiry):
+        for record in self._agents_to_query(inquiry):
             if self._links.send(record.agent_id, query):
-                opened.generations.add(record.generation)
-        self._open.append(opened)
-        self._expire(opened)
+                open_inquiry.generations.add(record.generation)
+        self._open.append(open_inquiry)
+        self._finish_if_overdue(open_inquiry)
 
     def on_response(self, record: AgentRecord, response: CallResponse) -> bool:
-        """Take an agent's response; False if nobody has asked for it."""
-        found = [
-            opened
-            for opened in self._open
-            if opened.inquiry.request_id == response.request_id
-            and record.generation in opened.generations
+        """Handle an agent's response; False if no inquiry awaits it."""
+        matching = [
+            open_inquiry
+            for open_inquiry in self._open
+            if open_inquiry.inquiry.request_id == response.request_id
+            and record.generation in open_inquiry.generations
         ]
-        for opened in found:
-            opened.generations.discard(record.generation)
-            answer = _answer(opened.inquiry, response)
+        for open_inquiry in matching:
+            open_inquiry.generations.discard(record.generation)
+            answer = _build_answer(open_inquiry.inquiry, response)
             if answer is None:
-                self._expire(opened)
+                self._finish_if_overdue(open_inquiry)
             else:
-                self._finish(opened, answer)
-        return bool(found)
+                self._finish(open_inquiry, answer)
+        return bool(matching)
 
     def tick(self) -> None:
-        """End the inquiries that got no answer in time."""
-        for opened in tuple(self._open):
-            self._expire(opened)
+        """Fail the inquiries whose timeout has passed."""
+        for open_inquiry in tuple(self._open):
+            self._finish_if_overdue(open_inquiry)
 
-    def _asked(self, inquiry: Inquiry) -> list[AgentRecord]:
+    def _agents_to_query(self, inquiry: Inquiry) -> list[AgentRecord]:
         if not inquiry.agent_id:
             return list(self._fleet.agents[:_MAX_AGENTS])
         record = self._fleet.agent(inquiry.agent_id)
         return [] if record is None else [record]
 
-    def _expire(self, opened: _Open) -> None:
-        if opened.generations and self._clock.now() < opened.deadline:
+    def _finish_if_overdue(self, open_inquiry: _OpenInquiry) -> None:
+        if (
+            open_inquiry.generations
+            and self._clock.now() < open_inquiry.deadline
+        ):
             return
-        failure = _failed(ErrorKind.OUTCOME_UNKNOWN, 'no agent remembers it')
-        self._finish(opened, failure)
+        failure = _build_failure_answer(
+            ErrorKind.OUTCOME_UNKNOWN, 'no agent remembers it'
+        )
+        self._finish(open_inquiry, failure)
 
-    def _finish(self, opened: _Open, answer: Answer) -> None:
-        self._open.remove(opened)
-        opened.done(answer)
+    def _finish(self, open_inquiry: _OpenInquiry, answer: Answer) -> None:
+        self._open.remove(open_inquiry)
+        open_inquiry.done(answer)
 
 
-def _failed(kind: ErrorKind, detail: str) -> Answer:
+def _build_failure_answer(kind: ErrorKind, detail: str) -> Answer:
     failure = Failure(kind, detail)
     return Answer(failure.answer.status, failure=failure)
 
 
-def _answer(inquiry: Inquiry, response: CallResponse) -> Answer | None:
-    """Return what an agent's response settles, None if it settles nothing."""
+def _build_answer(inquiry: Inquiry, response: CallResponse) -> Answer | None:
+    """Return the answer that a response determines, or None."""
     outcome = CallOutcome.from_wire(response.outcome)
     if outcome is CallOutcome.ANSWERED:
         return Answer(response.status, response.headers, response.body)
@@ -130,7 +144,7 @@
         return RUNNING
     kind = ErrorKind.from_wire(response.error)
     if outcome is CallOutcome.FAILED:
-        return _failed(kind, response.detail)
+        return _build_failure_answer(kind, response.detail)
     if outcome is CallOutcome.NOT_RUN and inquiry.is_final:
-        return _failed(kind, response.detail)
+        return _build_failure_answer(kind, response.detail)
     return None
--- a/hyssopring/entry/jobs.py
+++ b/hyssopring/entry/job_table.py
@@ -1,7 +1,7 @@
-"""Takes jobs from operators and puts them into the table.
+"""Writes operators' jobs and cancellations to the table.
 
 Any entry accepts a job: it writes ``jobs/<id>`` and a row in the inbox of
-the job's shard, in one transaction. The shard's planner takes it from there.
+the job's shard, in one transaction. The planner of that shard reads the inbox.
 """
 
 import uuid
@@ -31,13 +31,16 @@
 )
 from hyssopring.tasks import TaskKind
 
-__all__ = ('JobDesk',)
+__all__ = ('JobTable',)
 
 JobCallback = Callable[[Result[Mapping[str, Any], Failure]], None]
 
 
-class JobDesk:
-    """Submits, cancels and describes jobs."""
+class JobTable:
+    """Submits, cancels and describes jobs in the platform's table.
+
+    Each method calls ``done`` once, with a JSON document or a failure.
+    """
 
     def __init__(
         self,
@@ -46,14 +49,22 @@
         shards: int,
         fleet: Fleet | None = None,
     ) -> None:
-        """Spread jobs over ``shards``; refuse what ``fleet`` can't hold."""
+        """Set the table and what jobs are checked against.
+
+        Args:
+            store: The table service.
+            configuration: The templates and their parameters.
+            shards: Number of shards over which jobs are spread.
+            fleet: The connected agents; a job whose tasks are too large for
+                all of them is refused.
+        """
         self._fleet = fleet
         self._store = store
         self._configuration = configuration
-        self._shards = shards
+        self._shard_count = shards
 
     def submit(self, submission: JobSubmission, done: JobCallback) -> None:
-        """Accept a job; the same id twice is one job."""
+        """Accept a job, unless its id exists already."""
         service_name = f'{submission.team}/{submission.template}'
         policy = self._configuration.policy(service_name)
         if not self._configuration.is_known:
@@ -65,127 +76,129 @@
             done(Err(Failure(ErrorKind.INVALID, detail)))
             return
         agents = self._fleet.agents if self._fleet else ()
-        # With no agent connected nobody can tell; the job waits.
-        misfit = agents and infeasibility_reason(policy, policy.size, agents)
-        if misfit:
-            done(Err(Failure(ErrorKind.IMPOSSIBLE, str(misfit))))
+        # Without connected agents feasibility is unknown; the job waits.
+        reason = agents and infeasibility_reason(policy, policy.size, agents)
+        if reason:
+            done(Err(Failure(ErrorKind.IMPOSSIBLE, str(reason))))
             return
-        job = submission.job_id
+        job_id = submission.job_id
         document = {
             'what': 'submit',
-            'job': job,
+            'job': job_id,
             'service': service_name,
             'kind': policy.kind,
             'tasks': submission.tasks,
         }
-        self._post(
-            job,
-            (Check(f'jobs/{job}', 0),),
+        self._commit(
+            job_id,
+            (Check(f'jobs/{job_id}', 0),),
             (
-                Put(f'jobs/{job}', document),
-                Put(f'{self._inbox(job)}/0-submit', document),
+                Put(f'jobs/{job_id}', document),
+                Put(f'{self._inbox(job_id)}/0-submit', document),
             ),
             done,
         )
 
-    def cancel(self, job: str, done: JobCallback) -> None:
-        """Cancel what has not ended; completed tasks stay completed."""
-        self._post_for(job, {'what': 'cancel', 'job': job}, done)
+    def cancel(self, job_id: str, done: JobCallback) -> None:
+        """Cancel a job's unfinished tasks; completed ones stay completed."""
+        self._write_cancellation(
+            job_id, {'what': 'cancel', 'job': job_id}, done
+        )
 
     def cancel_task(self, task_id: str, done: JobCallback) -> None:
-        """Cancel one task, ``<job>:<number>``, if it has not ended."""
-        job, _, number = task_id.rpartition(':')
-        if not job or not number.isdigit():
+        """Cancel one task, ``<job>:<number>``, unless it has ended."""
+        job_id, _, number = task_id.rpartition(':')
+        if not job_id or not number.isdigit():
             detail = f'{task_id} is not a task: use JOB:NUMBER'
             done(Err(Failure(ErrorKind.INVALID, detail)))
             return
-        document = {'what': 'cancel', 'job': job, 'task': task_id}
-        self._post_for(job, document, done)
+        document = {'what': 'cancel', 'job': job_id, 'task': task_id}
+        self._write_cancellation(job_id, document, done)
 
-    def describe(self, job: str, done: JobCallback) -> None:
+    def describe(self, job_id: str, done: JobCallback) -> None:
         """Count a job's tasks by state, from the table."""
-        prefix = f'{chunk_prefix(shard_of(job, self._shards))}{job}/'
-        described = partial(_described, job)
-        self._if_known(
-            job,
+        prefix = f'{chunk_prefix(shard_of(job_id, self._shard_count))}{job_id}/'
+        count_tasks = partial(_count_tasks, job_id)
+        self._check_job_exists(
+            job_id,
             done,
             partial(
                 self._store.read,
                 prefix,
-                lambda answer: done(answer.map(described)),
+                lambda answer: done(answer.map(count_tasks)),
             ),
         )
 
-    def _post_for(
+    def _write_cancellation(
         self,
-        job: str,
+        job_id: str,
         document: Document,
         done: JobCallback,
     ) -> None:
-        """Write an inbox row that sorts after the job's own.
+        """Write an inbox row that sorts after the job's submission.
 
-        Each inbox row has its own key: deleting one that was read twice can
-        never delete a later one unread.
+        Each inbox row has a unique key, so that deleting a row that was read
+        twice never deletes a later row unread.
         """
-        key = f'{self._inbox(job)}/1-cancel-{uuid.uuid4().hex}'
-        post = partial(self._post, job, (), (Put(key, document),), done)
-        self._if_known(job, done, post)
+        key = f'{self._inbox(job_id)}/1-cancel-{uuid.uuid4().hex}'
+        write = partial(self._commit, job_id, (), (Put(key, document),), done)
+        self._check_job_exists(job_id, done, write)
 
-    def _if_known(
+    def _check_job_exists(
         self,
-        job: str,
+        job_id: str,
         done: JobCallback,
         proceed: Callable[[], None],
     ) -> None:
         self._store.read(
-            f'jobs/{job}',
-            partial(_proceed_if_known, job, done, proceed),
+            f'jobs/{job_id}',
+            partial(_on_job_row, job_id, done, proceed),
         )
 
-    def _inbox(self, job: str) -> str:
-        return f'inbox/{shard_of(job, self._shards):04}/{job}'
+    def _inbox(self, job_id: str) -> str:
+        return f'inbox/{shard_of(job_id, self._shard_count):04}/{job_id}'
 
-    def _post(
+    def _commit(
         self,
-        job: str,
+        job_id: str,
         checks: tuple[Check, ...],
         puts: tuple[Put, ...],
         done: JobCallback,
     ) -> None:
         self._store.commit(
             Transaction(checks, puts),
-            lambda answer: done(_posted(job, answer)),
+            lambda answer: done(_acceptance(job_id, answer)),
         )
 
 
-def _proceed_if_known(
-    job: str,
+def _on_job_row(
+    job_id: str,
     done: JobCallback,
     proceed: Callable[[], None],
     answer: Result[Sequence[Row], Failure],
 ) -> None:
     if answer.is_err():
         done(Err(answer.unwrap_err()))
-    elif any(row.key == f'jobs/{job}' for row in answer.unwrap()):
+    elif any(row.key == f'jobs/{job_id}' for row in answer.unwrap()):
         proceed()
     else:
-        done(Err(Failure(ErrorKind.NOT_FOUND, f'no such job: {job}')))
+        done(Err(Failure(ErrorKind.NOT_FOUND, f'no such job: {job_id}')))
 
 
-def _posted(
-    job: str,
+def _acceptance(
+    job_id: str,
     answer: Result[Committed | Conflict, Failure],
 ) -> Result[Mapping[str, Any], Failure]:
     if answer.is_err():
         return Err(answer.unwrap_err())
     if isinstance(answer.unwrap(), Conflict):
-        return Err(Failure(ErrorKind.CONFLICT, f'job {job} exists'))
-    return Ok({'job': job, 'accepted': True})
+        return Err(Failure(ErrorKind.CONFLICT, f'job {job_id} exists'))
+    return Ok({'job': job_id, 'accepted': True})
 
 
-def _described(job: str, rows: Sequence[Row]) -> Mapping[str, Any]:
+def _count_tasks(job_id: str, rows: Sequence[Row]) -> Mapping[str, Any]:
     count_by_state: dict[str, int] = {}
     for row in rows:
         for fields in row.document['tasks']:
             count_by_state[fields[0]] = count_by_state.get(fields[0], 0) + 1
-    return {'job': job, 'tasks': count_by_state}
+    return {'job': job_id, 'tasks': count_by_state}
--- a/hyssopring/entry/keyed.py
+++ b/hyssopring/entry/keyed_calls.py
@@ -1,9 +1,10 @@
-"""Runs a keyed request that is not idempotent at most once, from any entry.
+"""Runs a keyed request that is not idempotent at most once, at any entry.
 
-The agent is chosen before the claim, and the request goes to no other one
-until that agent has said "not run" and the claim has been moved by
-compare-and-set. A request that finds its key taken follows the first one: it
-waits for that answer, or takes over once the first is certain never to run.
+The agent is chosen before the claim. The request is sent to another agent only
+after the first one has reported it as not run and the claim has been moved by
+compare-and-set. A request whose key is claimed already follows the earlier
+request: it waits for that answer, or takes over the claim once the earlier
+request certainly never runs.
 """
 
 import hashlib
@@ -13,28 +14,28 @@
 
 from hyssopring.entry.calls import PendingCall
 from hyssopring.entry.claims import Claim, Claimed, ClaimTable, Taken
-from hyssopring.entry.doubt import Doubts
-from hyssopring.entry.pending import PendingCalls
+from hyssopring.entry.unconfirmed_calls import UnconfirmedCalls
+from hyssopring.entry.pending_calls import PendingCalls
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.logs import Event, log_event
 from hyssopring.routing import BackendChoice
 
 __all__ = ('KeyedCalls',)
 
-_MAX_MOVES = 5
+_MAX_CLAIM_MOVES = 5
 
 
 class Dispatcher(Protocol):
     """Chooses backends and sends calls; ``CallSender``."""
 
     def choose(self, pending: PendingCall) -> BackendChoice | None:
-        """Return a backend that the call has not been sent to."""
+        """Return a backend server that has not received the call, or None."""
 
     def dispatch(self, pending: PendingCall, choice: BackendChoice) -> None:
-        """Send the call."""
+        """Send the call to the chosen backend server."""
 
-    def is_open(self, choice: BackendChoice) -> bool:
-        """Whether the chosen backend may still be sent to."""
+    def can_send_to(self, choice: BackendChoice) -> bool:
+        """Whether the chosen backend server is connected and routable."""
 
 
 class KeyedCalls:
@@ -44,13 +45,13 @@
         self,
         calls: PendingCalls,
         claims: ClaimTable,
-        doubts: Doubts,
+        unconfirmed: UnconfirmedCalls,
         dispatcher: Dispatcher,
     ) -> None:
-        """Take the collaborators."""
+        """Register for calls that certainly did not run."""
         self._calls = calls
         self._claims = claims
-        self._doubts = doubts
+        self._unconfirmed = unconfirmed
         self._dispatcher = dispatcher
         calls.on_not_run = self._release
 
@@ -59,25 +60,32 @@
         self._claims.insert(
             pending.call.service_name,
             pending.call.key,
-            _claim_of(pending, choice),
-            lambda answer: self._claimed(pending, choice, answer),
+            _build_claim(pending, choice),
+            lambda answer: self._on_claim(pending, choice, answer),
         )
 
     def move(self, pending: PendingCall, failure: Failure) -> None:
-        """The agent in the claim has said "not run": claim another."""
+        """Claim the key for another agent, as its agent did not run the call.
+
+        Fail the call with ``failure`` if there is no other agent.
+        """
         choice = self._dispatcher.choose(pending)
-        row = pending.row
-        if row is None or choice is None or pending.moves >= _MAX_MOVES:
+        row = pending.claim_row
+        if (
+            row is None
+            or choice is None
+            or pending.claim_moves >= _MAX_CLAIM_MOVES
+        ):
             self._calls.fail(pending, failure)
             return
-        pending.moves += 1
+        pending.claim_moves += 1
         self._claims.move(
             row,
-            _claim_of(pending, choice),
-            lambda answer: self._claimed(pending, choice, answer),
+            _build_claim(pending, choice),
+            lambda answer: self._on_claim(pending, choice, answer),
         )
 
-    def _claimed(
+    def _on_claim(
         self,
         pending: PendingCall,
         choice: BackendChoice,
@@ -91,26 +99,26 @@
         outcome = answer.ok_value
         if isinstance(outcome, Taken):
             if is_waiting:
-                self._taken(pending, outcome)
+                self._follow(pending, outcome)
             return
         if is_waiting:
-            pending.row = outcome.row
+            pending.claim_row = outcome.row
             self._send(pending, choice)
             return
-        # Its deadline passed or its caller left: it is never sent.
+        # The deadline passed or the caller disconnected: never sent.
         self._claims.release(outcome.row)
 
     def _send(self, pending: PendingCall, choice: BackendChoice) -> None:
-        if self._dispatcher.is_open(choice):
+        if self._dispatcher.can_send_to(choice):
             self._dispatcher.dispatch(pending, choice)
             return
-        # The agent left while the claim was written; nothing was sent.
+        # The agent disconnected during the commit; nothing was sent.
         self.move(
             pending,
             Failure(ErrorKind.NO_BACKEND, 'the agent left before the call'),
         )
 
-    def _taken(self, pending: PendingCall, taken: Taken) -> None:
+    def _follow(self, pending: PendingCall, taken: Taken) -> None:
         claim = taken.row.claim
         if claim.digest != _digest(pending):
             self._calls.fail(
@@ -121,22 +129,22 @@
                 ),
             )
             return
-        pending.row = taken.row
+        pending.claim_row = taken.row
         log_event(
             Event.REQUEST_FOLLOWED,
             request=pending.call.request_id,
             first=claim.request_id,
             agent=claim.agent_id,
         )
-        self._doubts.follow(pending, claim)
+        self._unconfirmed.follow(pending, claim)
 
     def _release(self, pending: PendingCall) -> None:
-        row = pending.row
+        row = pending.claim_row
         if row is not None and row.claim.request_id == pending.call.request_id:
             self._claims.release(row)
 
 
-def _claim_of(pending: PendingCall, choice: BackendChoice) -> Claim:
+def _build_claim(pending: PendingCall, choice: BackendChoice) -> Claim:
     record = choice.backend.agent
     return Claim(
         pending.call.request_id,
--- a/hyssopring/entry/links.py
+++ b/hyssopring/entry/links.py
@@ -1,4 +1,4 @@
-"""The entry's connections from agents (Twisted shell)."""
+"""The entry's side of its connections with agents, on Twisted."""
 
 import hmac
 import uuid
@@ -23,28 +23,30 @@
 
 __all__ = ('AgentLinks',)
 
-_MAX_GREETING_BYTES = 65_536
-_GREETING_MS = 5000.0
+_MAX_HANDSHAKE_BYTES = 65_536
+_HANDSHAKE_TIMEOUT_MS = 5000.0
 
 
 @dataclass(slots=True)
 class _Session:
+    """State of a connection; ``record`` is None until authentication."""
+
     nonce: str
     opened_at: float
     record: AgentRecord | None = None
 
 
 class AgentLinks(Factory):
-    """Accepts agents, proves who they are and carries messages.
+    """Accepts and authenticates agents, and carries their messages.
 
-    Outsiders are kept from the inner port by the deployment's secret: a peer
-    that cannot answer the challenge is refused before anything else is read.
+    Only agents with the deployment's secret may connect: a peer that fails the
+    challenge is refused before any other message is read.
     """
 
     noisy = False
 
     def __init__(self, clock: Clock, secret: str) -> None:
-        """Attach the core before listening."""
+        """Start without a core; attach one before listening."""
         self._clock = clock
         self._secret = secret
         self._core: EntryCore | None = None
@@ -59,33 +61,33 @@
 
     @property
     def connected(self) -> int:
-        """How many agents are connected."""
+        """Number of connected agents."""
         return len(self._connection_by_agent)
 
     def attach(self, core: EntryCore) -> None:
-        """Give messages to this core."""
+        """Deliver messages to this core."""
         self._core = core
 
     def buildProtocol(self, addr: object) -> InnerConnection:
-        """Make the protocol of one accepted connection."""
+        """Return the protocol of one accepted connection."""
         connection = InnerConnection(
             self._clock,
-            self._opened,
-            self._received,
-            self._broken,
-            self._closed,
+            self._on_open,
+            self._on_received,
+            self._on_protocol_error,
+            self._on_close,
             self.traffic,
         )
-        # A peer that has not shown the secret could fill the memory.
-        connection.MAX_LENGTH = _MAX_GREETING_BYTES
+        # Bounds the memory that an unauthenticated peer can use.
+        connection.MAX_LENGTH = _MAX_HANDSHAKE_BYTES
         return connection
 
-    def drop_ungreeted(self) -> None:
-        """Abort connections that opened and did not greet in time."""
-        now = self._clock.now()
+    def close_unauthenticated(self) -> None:
+        """Abort connections that did not authenticate in time."""
+        now_ms = self._clock.now()
         for connection, session in tuple(self._session_by_connection.items()):
-            age = now - session.opened_at
-            if session.record is None and age > _GREETING_MS:
+            age_ms = now_ms - session.opened_at
+            if session.record is None and age_ms > _HANDSHAKE_TIMEOUT_MS:
                 connection.abort()
 
     def send(self, agent_id: str, message: Message) -> bool:
@@ -97,12 +99,12 @@
         return True
 
     def drop(self, agent_id: str) -> None:
-        """Abort an agent's connection; it will dial again."""
+        """Abort an agent's connection; the agent reconnects."""
         connection = self._connection_by_agent.get(agent_id)
         if connection is not None:
             connection.abort()
 
-    def _opened(self, connection: InnerConnection) -> None:
+    def _on_open(self, connection: InnerConnection) -> None:
         nonce = uuid.uuid4().hex
         self._session_by_connection[connection] = _Session(
             nonce, self._clock.now()
@@ -110,7 +112,9 @@
         entry_id = self._core.identity.entry_id if self._core else ''
         connection.send(Challenge(PROTOCOL_VERSION, entry_id, nonce))
 
-    def _received(self, connection: InnerConnection, message: Message) -> None:
+    def _on_received(
+        self, connection: InnerConnection, message: Message
+    ) -> None:
         session = self._session_by_connection.get(connection)
         if session is None or self._core is None:
             return
@@ -119,37 +123,37 @@
                 self._core.on_message(message, session.record)
             return
         if isinstance(message, Hello):
-            self._greet(connection, session, message)
+            self._handle_hello(connection, session, message)
             return
-        self._broken(connection, 'a message before the greeting')
+        self._on_protocol_error(connection, 'a message before the greeting')
 
     def _is_current(
         self,
         connection: InnerConnection,
         record: AgentRecord,
     ) -> bool:
-        """Drop what still arrives on a connection that was replaced."""
+        """Whether this connection has not been replaced by a newer one."""
         return self._connection_by_agent.get(record.agent_id) is connection
 
-    def _greet(
+    def _handle_hello(
         self,
         connection: InnerConnection,
         session: _Session,
         hello: Hello,
     ) -> None:
-        expected = prove(self._secret, session.nonce, hello.agent_id)
-        given = hello.proof.encode()
-        if not hmac.compare_digest(expected.encode(), given):
+        expected_proof = prove(self._secret, session.nonce, hello.agent_id)
+        given_proof = hello.proof.encode()
+        if not hmac.compare_digest(expected_proof.encode(), given_proof):
             self._refuse(connection, ErrorKind.UNAUTHORIZED, 'wrong proof')
             return
-        refusal = self._core.refusal(hello) if self._core else None
+        refusal = self._core.admission_failure(hello) if self._core else None
         if refusal is not None:
             self._refuse(connection, refusal.kind, refusal.detail)
             return
-        older = self._connection_by_agent.get(hello.agent_id)
+        older_connection = self._connection_by_agent.get(hello.agent_id)
         self._connection_by_agent[hello.agent_id] = connection
-        if older is not None:
-            older.abort()
+        if older_connection is not None:
+            older_connection.abort()
         if self._core is not None:
             connection.MAX_LENGTH = MAX_FRAME_BYTES
             session.record = self._core.on_hello(hello)
@@ -164,12 +168,14 @@
         connection.send(Refusal(kind.value, detail))
         connection.close()
 
-    def _broken(self, connection: InnerConnection, detail: str) -> None:
+    def _on_protocol_error(
+        self, connection: InnerConnection, detail: str
+    ) -> None:
         log_event(Event.PEER_ERROR, detail=detail)
         connection.send(Refusal(ErrorKind.PROTOCOL.value, detail))
         connection.close()
 
-    def _closed(self, connection: InnerConnection) -> None:
+    def _on_close(self, connection: InnerConnection) -> None:
         session = self._session_by_connection.pop(connection, None)
         if session is None or session.record is None:
             return
--- a/hyssopring/entry/liveness.py
+++ b/hyssopring/entry/liveness.py
@@ -1,18 +1,18 @@
-"""Finds connections that have gone silent, well before they are dropped.
+"""Detects silent connections, well before their heartbeat timeout.
 
-Guard: a connection that something in between has lost track of stays open and
-takes requests without an answer, until the heartbeats' silence is noticed
-seconds later, past most deadlines. So while a call waits at an agent that is
-quiet, the agent is pinged; without a pong it gets no new calls, and its
-idempotent calls are sent elsewhere too.
+A connection that a device in between has lost track of stays open and accepts
+requests without a response. The heartbeat timeout notices this only seconds
+later, past most deadlines. Therefore a silent agent with a pending call is
+pinged. Without a pong it is suspect: it gets no new calls, and its idempotent
+calls are also sent elsewhere.
 
-An entry that was itself paused has heard nobody, which says nothing about the
-agents: silence counts from its waking.
+A paused entry receives nothing, which tells nothing about the agents: silence
+counts from the time at which the entry resumed.
 """
 
 from hyssopring.clock import Clock
 from hyssopring.entry.calls import Links
-from hyssopring.entry.pending import PendingCalls
+from hyssopring.entry.pending_calls import PendingCalls
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord, Fleet
 from hyssopring.metrics import Metrics
@@ -20,17 +20,17 @@
 
 __all__ = ('Liveness',)
 
-# An agent with a call is pinged after so much quiet, and suspect when the
-# pong is not back in so much time: the 1 ms of the network, and pauses of
-# both processes for garbage collection or a busy machine.
-_QUIET_MS = 150.0
-_PONG_MS = 250.0
-# Between two looks of a running entry there are 20 ms.
-_PAUSED_MS = 500.0
+# An agent with a call is pinged after this much silence, and becomes suspect
+# without a pong in this time. The timeout allows for 1 ms of network delay,
+# and for pauses of both processes by garbage collection or a busy machine.
+_PING_AFTER_MS = 150.0
+_PONG_TIMEOUT_MS = 250.0
+# A running entry checks every 20 ms; after a longer gap it was paused.
+_MAX_CHECK_GAP_MS = 500.0
 
 
 class Liveness:
-    """Pings quiet agents that have calls, and suspects those without pong."""
+    """Pings silent agents with calls; suspects those that send no pong."""
 
     def __init__(
         self,
@@ -40,45 +40,47 @@
         links: Links,
         metrics: Metrics,
     ) -> None:
-        """Take the collaborators."""
+        """Start with no pings in flight."""
         self._clock = clock
         self._fleet = fleet
         self._calls = calls
         self._links = links
         self._metrics = metrics
-        self._awake_since = clock.now()
-        self._looked_at = clock.now()
+        self._resumed_at = clock.now()
+        self._checked_at = clock.now()
         self._sequence = 0
-        # When the ping that waits for its pong was sent, by generation.
+        # When the unanswered ping was sent, by connection generation.
         self._pinged_at: dict[int, float] = {}
 
-    def quiet_ms(self, record: AgentRecord) -> float:
-        """Return for how long nothing came that could have been heard."""
-        now = self._clock.now()
-        if now - self._looked_at > _PAUSED_MS:
-            self._awake_since = now
+    def silent_ms(self, record: AgentRecord) -> float:
+        """Return how long an agent was silent while this entry ran."""
+        now_ms = self._clock.now()
+        if now_ms - self._checked_at > _MAX_CHECK_GAP_MS:
+            self._resumed_at = now_ms
             self._pinged_at.clear()
-        self._looked_at = now
-        return now - max(record.heard_at, self._awake_since)
+        self._checked_at = now_ms
+        return now_ms - max(record.heard_at, self._resumed_at)
 
-    def heard(self, record: AgentRecord) -> None:
-        """Any message is a sign of life."""
+    def on_message(self, record: AgentRecord) -> None:
+        """Record that an agent is alive, as any message shows."""
         record.heard_at = self._clock.now()
         record.is_suspect = False
 
     def tick(self) -> None:
-        """Ping and suspect; call each 20 ms."""
+        """Ping silent agents and suspect late ones; call every 20 ms."""
         pinged_at = self._pinged_at
         self._pinged_at = {}
         for record in self._busy_agents():
-            if self.quiet_ms(record) >= _QUIET_MS:
-                self._check(record, pinged_at.get(record.generation))
+            if self.silent_ms(record) >= _PING_AFTER_MS:
+                self._check_pong(record, pinged_at.get(record.generation))
 
-    def _check(self, record: AgentRecord, asked_at: float | None) -> None:
-        if asked_at is None or record.heard_at > asked_at:
-            asked_at = self._ping(record)
-        self._pinged_at[record.generation] = asked_at
-        is_late = self._clock.now() - asked_at > _PONG_MS
+    def _check_pong(
+        self, record: AgentRecord, pinged_at_ms: float | None
+    ) -> None:
+        if pinged_at_ms is None or record.heard_at > pinged_at_ms:
+            pinged_at_ms = self._ping(record)
+        self._pinged_at[record.generation] = pinged_at_ms
+        is_late = self._clock.now() - pinged_at_ms > _PONG_TIMEOUT_MS
         if is_late and not record.is_suspect:
             self._suspect(record)
 
@@ -89,8 +91,8 @@
             for attempt in pending.attempts
         }
         records = (self._fleet.agent(agent_id) for agent_id in agent_ids)
-        found = [record for record in records if record is not None]
-        return sorted(found, key=lambda record: record.agent_id)
+        connected_agents = [record for record in records if record is not None]
+        return sorted(connected_agents, key=lambda record: record.agent_id)
 
     def _ping(self, record: AgentRecord) -> float:
         self._sequence += 1
@@ -102,6 +104,6 @@
         log_event(
             Event.CONNECTION_SUSPECT,
             agent=record.agent_id,
-            quiet_ms=f'{self.quiet_ms(record):.0f}',
+            quiet_ms=f'{self.silent_ms(record):.0f}',
         )
         self._metrics.count('connections_suspect_total')
--- a/hyssopring/entry/operators.py
+++ b/hyssopring/entry/operators.py
@@ -1,6 +1,6 @@
-"""The operators' HTTP port (Twisted shell).
+"""The operators' HTTP port, on Twisted.
 
-Every call but ``/healthz`` and ``/metrics`` needs the operators' bearer token.
+Every path but ``/healthz`` and ``/metrics`` needs the operators' bearer token.
 """
 
 import hmac
@@ -22,7 +22,7 @@
 from hyssopring.entry.callers import write_failure
 from hyssopring.entry.core import EntryCore
 from hyssopring.entry.decisions import DecisionLog
-from hyssopring.entry.jobs import JobDesk
+from hyssopring.entry.job_table import JobTable
 from hyssopring.entry.status import (
     fleet_status,
     job_status,
@@ -38,73 +38,79 @@
 _UNAVAILABLE = 503
 _BEARER = 'Bearer '
 
-_StatusPage = Callable[[EntryCore], Mapping[str, Any]]
-_Serve = Callable[[Request, str, str], None]
+_BuildStatus = Callable[[EntryCore], Mapping[str, Any]]
+_ServePage = Callable[[Request, str, str], None]
 
 
 class OperatorResource(Resource):
-    """Routes operators' calls by their first path segment."""
+    """Serves operators' requests by the first segment of their path.
+
+    Attributes:
+        is_ready: Whether the entry accepts calls; False while it stops.
+    """
 
     isLeaf = True
 
     def __init__(
         self,
         core: EntryCore,
-        jobs: JobDesk,
+        jobs: JobTable,
         token: str,
         decisions: DecisionLog,
     ) -> None:
-        """Check callers against ``token``."""
+        """Serve the state of ``core`` to operators that have the token."""
         super().__init__()
         self._core = core
-        self._jobs = jobs
+        self._job_table = jobs
         self._token = token
         self._decisions = decisions
         self.is_ready = True
 
     def render(self, request: Request) -> int:
-        """Answer one operator's call."""
+        """Handle one operator's request."""
         path = request.path.decode('latin-1').strip('/')
         if path in {'healthz', 'metrics'}:
-            self._open_page(request, path)
+            self._serve_public_page(request, path)
             return NOT_DONE_YET
-        if not self._is_allowed(request):
+        if not self._is_authorized(request):
             write_failure(request, Failure(ErrorKind.UNAUTHORIZED, 'token'))
             return NOT_DONE_YET
         method = request.method.decode('latin-1')
         area, _, rest = path.removeprefix('v1/').partition('/')
-        serve = {
-            'configuration': self._configuration,
-            'explain': self._explain,
-            'jobs': self._job,
-            'keepers': self._page(keeper_status),
-            'status': self._page(fleet_status),
-            'tasks': self._task,
-            'teams': self._page(team_status),
+        serve_page = {
+            'configuration': self._serve_configuration,
+            'explain': self._serve_explanation,
+            'jobs': self._serve_job,
+            'keepers': self._status_page(keeper_status),
+            'status': self._status_page(fleet_status),
+            'tasks': self._serve_task,
+            'teams': self._status_page(team_status),
         }.get(area)
-        if serve is None:
+        if serve_page is None:
             write_failure(request, Failure(ErrorKind.NOT_FOUND, path))
             return NOT_DONE_YET
-        serve(request, method, rest)
+        serve_page(request, method, rest)
         return NOT_DONE_YET
 
-    def _open_page(self, request: Request, path: str) -> None:
+    def _serve_public_page(self, request: Request, path: str) -> None:
         if path == 'metrics':
             _write(request, _OK, self._core.metrics.render(), 'text/plain')
             return
-        why_not = '' if self.is_ready else 'stopping'
-        why_not = why_not or self._core.why_not_ready
-        status = _UNAVAILABLE if why_not else _OK
-        _write(request, status, f'{why_not or "ready"}\n')
+        not_ready_reason = '' if self.is_ready else 'stopping'
+        not_ready_reason = not_ready_reason or self._core.not_ready_reason
+        status = _UNAVAILABLE if not_ready_reason else _OK
+        _write(request, status, f'{not_ready_reason or "ready"}\n')
 
-    def _is_allowed(self, request: Request) -> bool:
-        given = request.getHeader('authorization') or ''
+    def _is_authorized(self, request: Request) -> bool:
+        given_header = request.getHeader('authorization') or ''
         expected = _BEARER + self._token
-        return hmac.compare_digest(given.encode(), expected.encode())
+        return hmac.compare_digest(given_header.encode(), expected.encode())
 
-    def _configuration(self, request: Request, method: str, key: str) -> None:
+    def _serve_configuration(
+        self, request: Request, method: str, key: str
+    ) -> None:
         if method == 'GET':
-            self._show(request, key)
+            self._serve_items(request, key)
             return
         if method not in {'PUT', 'DELETE'}:
             write_failure(request, Failure(ErrorKind.NOT_FOUND, method))
@@ -119,7 +125,7 @@
             partial(_write_change, request),
         )
 
-    def _show(self, request: Request, key: str) -> None:
+    def _serve_items(self, request: Request, key: str) -> None:
         state = self._core.configuration
         if not state.is_known:
             detail = 'no configuration yet'
@@ -137,23 +143,27 @@
         ]
         _write_json(request, {'version': state.version, 'items': items})
 
-    def _job(self, request: Request, method: str, job_id: str) -> None:
+    def _serve_job(self, request: Request, method: str, job_id: str) -> None:
         if method == 'POST':
             self._submit_job(request)
         elif method == 'DELETE':
-            self._jobs.cancel(job_id, partial(_write_result, request))
+            self._job_table.cancel(job_id, partial(_write_result, request))
         elif job_id:
-            self._jobs.describe(job_id, partial(_write_result, request))
+            self._job_table.describe(job_id, partial(_write_result, request))
         else:
             _write_json(request, job_status(self._core))
 
-    def _task(self, request: Request, method: str, task_id: str) -> None:
+    def _serve_task(self, request: Request, method: str, task_id: str) -> None:
         if method == 'DELETE':
-            self._jobs.cancel_task(task_id, partial(_write_result, request))
+            self._job_table.cancel_task(
+                task_id, partial(_write_result, request)
+            )
             return
-        self._explain(request, method, f'task/{task_id}')
+        self._serve_explanation(request, method, f'task/{task_id}')
 
-    def _explain(self, request: Request, method: str, rest: str) -> None:
+    def _serve_explanation(
+        self, request: Request, method: str, rest: str
+    ) -> None:
         kind, _, subject = rest.partition('/')
         _write_json(
             request,
@@ -172,12 +182,12 @@
         if submission.is_err():
             write_failure(request, submission.unwrap_err())
             return
-        self._jobs.submit(
+        self._job_table.submit(
             submission.unwrap(),
             partial(_write_result, request),
         )
 
-    def _page(self, status: _StatusPage) -> _Serve:
+    def _status_page(self, status: _BuildStatus) -> _ServePage:
         return lambda request, _method, _rest: _write_json(
             request,
             status(self._core),
--- a/hyssopring/entry/pending.py
+++ b/hyssopring/entry/pending_calls.py
@@ -1,8 +1,8 @@
 """The calls of one entry that wait for their final answer.
 
-Guard: "not run" is said only when nothing was sent, or when each agent that
-was sent the call has said so. An idempotent call that failed at one agent and
-was refused by the next would otherwise be told the second agent's "not run".
+A call is reported as not run only if nothing was sent, or if each agent that
+received it has reported so. Otherwise an idempotent call that failed at one
+agent and was refused by the next would be reported as not run.
 """
 
 import random
@@ -19,13 +19,13 @@
 
 __all__ = ('PendingCalls',)
 
-# Times to come back are spread over half to one and a half of the table's.
+# Retry delays are multiplied by a random factor in this range.
 _SPREAD_LOW = 0.5
 _SPREAD_HIGH = 1.5
 
 
 class PendingCalls:
-    """Pending calls by request id; gives each its one final answer."""
+    """Pending calls by request id; delivers one final answer for each."""
 
     def __init__(
         self,
@@ -34,47 +34,47 @@
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
-        """Start empty; ``rng`` spreads the times to come back."""
+        """Start empty; ``rng`` spreads the callers' retry delays."""
         self._clock = clock
         self._callers = callers
         self._metrics = metrics
         self._rng = rng
         self._invariants = Invariants(metrics)
         self._call_by_id: dict[str, PendingCall] = {}
-        self._calls_by_agents_id: dict[str, list[PendingCall]] = {}
-        # Called with a call that failed and is certain not to have run.
+        self._calls_by_attempt_id: dict[str, list[PendingCall]] = {}
+        # Called with each failed call that certainly did not run.
         self.on_not_run: Callable[[PendingCall], None] = _ignore
 
     def __len__(self) -> int:
-        """Return how many calls have not had their answer."""
+        """Return the number of calls without a final answer."""
         return len(self._call_by_id)
 
     def __iter__(self) -> Iterator[PendingCall]:
-        """Iterate over a copy, so that calls may finish meanwhile."""
+        """Iterate over a copy, so that calls may finish during iteration."""
         return iter(tuple(self._call_by_id.values()))
 
     def __contains__(self, pending: PendingCall) -> bool:
-        """Tell whether this call still waits."""
+        """Return whether this call is pending."""
         return self.get(pending.call.request_id) is pending
 
     def add(self, pending: PendingCall) -> None:
-        """Take in a call."""
+        """Add a call."""
         self._call_by_id[pending.call.request_id] = pending
 
     def get(self, request_id: str) -> PendingCall | None:
-        """Return a call that waits."""
+        """Return the pending call with this id, or None."""
         return self._call_by_id.get(request_id)
 
-    def waiting_for(self, request_id: str) -> tuple[PendingCall, ...]:
-        """Return the calls with an attempt under this id at an agent."""
-        return tuple(self._calls_by_agents_id.get(request_id, ()))
+    def calls_awaiting(self, request_id: str) -> tuple[PendingCall, ...]:
+        """Return the calls with an open attempt under this request id."""
+        return tuple(self._calls_by_attempt_id.get(request_id, ()))
 
     def open_attempt(
         self,
         pending: PendingCall,
         backend: BackendView,
     ) -> Attempt:
-        """Count a sending to a backend server."""
+        """Record an attempt at a backend server, and add to its load."""
         attempt = Attempt.from_backend(
             pending.call.request_id,
             backend,
@@ -82,12 +82,12 @@
         )
         self.add_attempt(pending, attempt)
         pending.sent_count += 1
-        pending.tried.append(attempt.incarnation)
+        pending.tried_incarnations.append(attempt.incarnation)
         backend.in_flight += 1
         return attempt
 
     def add_attempt(self, pending: PendingCall, attempt: Attempt) -> None:
-        """Expect an agent's response to this attempt."""
+        """Register an attempt that awaits an agent's response."""
         self._invariants.check(
             pending.idempotent or not pending.attempts,
             'a non-idempotent request is with one agent at a time',
@@ -95,8 +95,8 @@
         )
         pending.attempts.append(attempt)
         pending.last_attempt = attempt
-        waiting = self._calls_by_agents_id.setdefault(attempt.request_id, [])
-        waiting.append(pending)
+        awaiting = self._calls_by_attempt_id.setdefault(attempt.request_id, [])
+        awaiting.append(pending)
 
     def close_attempt(
         self,
@@ -104,25 +104,25 @@
         attempt: Attempt,
         may_have_run: bool,
     ) -> None:
-        """Nothing more is expected from this attempt."""
+        """Remove an attempt that awaits no response any more."""
         pending.may_have_run = pending.may_have_run or may_have_run
         pending.attempts.remove(attempt)
-        waiting = self._calls_by_agents_id[attempt.request_id]
-        waiting.remove(pending)
-        if not waiting:
-            self._calls_by_agents_id.pop(attempt.request_id)
+        awaiting = self._calls_by_attempt_id[attempt.request_id]
+        awaiting.remove(pending)
+        if not awaiting:
+            self._calls_by_attempt_id.pop(attempt.request_id)
         if attempt.backend is not None:
             attempt.backend.in_flight -= 1
 
     def discard(self, request_id: str) -> PendingCall | None:
-        """Forget a call whose caller has gone."""
+        """Remove a call whose caller disconnected, and return it."""
         pending = self._call_by_id.pop(request_id, None)
         if pending is not None:
             self._release(pending)
         return pending
 
     def finish(self, pending: PendingCall, answer: Answer) -> None:
-        """Give the final answer to the caller."""
+        """Deliver the final answer to the caller."""
         request_id = pending.call.request_id
         self._release(pending)
         was_pending = self._call_by_id.pop(request_id, None) is pending
@@ -132,13 +132,13 @@
             request_id,
         ):
             return
-        took = self._clock.now() - pending.started_at
-        self._metrics.observe('request_latency', took)
-        self._report(pending.call, answer, took)
+        took_ms = self._clock.now() - pending.started_at
+        self._metrics.observe('request_latency', took_ms)
+        self._log_answer(pending.call, answer, took_ms)
         self._callers.answer(request_id, answer)
 
     def fail(self, pending: PendingCall, failure: Failure) -> None:
-        """Give up a call; its caller is told at once when to come back."""
+        """Fail a call; the answer says when the caller should retry."""
         is_certain = not (pending.may_have_run or pending.attempts)
         if failure.answer.run_state is RunState.NOT_RUN and not is_certain:
             failure = Failure(
@@ -146,21 +146,24 @@
                 f'{failure.kind.value} after an attempt that may have run',
                 failure.retry_after_ms,
             )
-        answer = self._failed(failure)
-        last = pending.last_attempt
-        if last is not None and failure.answer.run_state is RunState.UNKNOWN:
+        answer = self._build_failure_answer(failure)
+        last_attempt = pending.last_attempt
+        if (
+            last_attempt is not None
+            and failure.answer.run_state is RunState.UNKNOWN
+        ):
             answer = replace(
                 answer,
-                ask_agent=last.agent_id,
-                ask_id=last.request_id,
-                ask_is_final=pending.is_only_at(last),
+                outcome_agent_id=last_attempt.agent_id,
+                outcome_request_id=last_attempt.request_id,
+                is_outcome_final=pending.is_only_at(last_attempt),
             )
         self.finish(pending, answer)
         if is_certain:
             self.on_not_run(pending)
 
     def refuse(self, call: Call, failure: Failure) -> None:
-        """Answer a call that was never taken in."""
+        """Answer a call that was refused before it was added."""
         log_event(
             Event.REQUEST_REFUSED,
             request=call.request_id,
@@ -170,22 +173,24 @@
         self._metrics.count(
             f'requests_total{{error="{failure.kind.value}"}}',
         )
-        self._callers.answer(call.request_id, self._failed(failure))
+        self._callers.answer(
+            call.request_id, self._build_failure_answer(failure)
+        )
 
-    def _failed(self, failure: Failure) -> Answer:
+    def _build_failure_answer(self, failure: Failure) -> Answer:
         row = failure.answer
         if row.retry_after_ms is None:
             return Answer(row.status, failure=failure)
-        # Callers that failed together would otherwise return together.
-        factor = self._rng.uniform(_SPREAD_LOW, _SPREAD_HIGH)
+        # Callers that failed together would otherwise retry together.
+        spread_factor = self._rng.uniform(_SPREAD_LOW, _SPREAD_HIGH)
         spread = Failure(
             failure.kind,
             failure.detail,
-            int(row.retry_after_ms * factor),
+            int(row.retry_after_ms * spread_factor),
         )
         return Answer(row.status, failure=spread)
 
-    def _report(self, call: Call, answer: Answer, took: float) -> None:
+    def _log_answer(self, call: Call, answer: Answer, took_ms: float) -> None:
         kind = answer.failure.kind.value if answer.failure else 'none'
         self._metrics.count(f'requests_total{{error="{kind}"}}')
         log_event(
@@ -194,7 +199,7 @@
             service=call.service_name,
             status=answer.status,
             error=kind,
-            ms=f'{took:.1f}',
+            ms=f'{took_ms:.1f}',
         )
 
     def _release(self, pending: PendingCall) -> None:
@@ -203,4 +208,4 @@
 
 
 def _ignore(pending: PendingCall) -> None:
-    """Do nothing: no claims are kept."""
+    """Do nothing; the default without claims."""
--- a/hyssopring/entry/readiness.py
+++ b/hyssopring/entry/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a balancer should send callers' requests to this entry."""
+"""Decides whether a balancer should send requests to this entry."""
 
 from typing import Final
 
@@ -8,16 +8,16 @@
 
 __all__ = ('Readiness',)
 
-# Agents dial a fresh entry within seconds; a service that has no backend
-# server by then has none anywhere.
-_SETTLED_MS: Final = 5000.0
+# Agents connect to a new entry within seconds; a service without a backend
+# server by then has none at any agent.
+_SETTLING_MS: Final = 5000.0
 
 
 class Readiness:
-    """Holds a fresh entry back until it can serve what is configured.
+    """Keeps a new entry unready until it can serve all configured services.
 
-    Guard: agents dial one by one. An entry that took requests once the first
-    had come would refuse those for services of the others.
+    Agents connect one after another. An entry that was ready with the first
+    agent would refuse requests for services that only later agents have.
     """
 
     def __init__(
@@ -26,25 +26,25 @@
         configuration: ConfigurationState,
         fleet: Fleet,
     ) -> None:
-        """Count from now."""
+        """Start the settling time."""
         self._clock = clock
         self._configuration = configuration
         self._fleet = fleet
         self._started_at = clock.now()
 
     @property
-    def why_not(self) -> str:
-        """What is missing, empty if nothing is."""
+    def not_ready_reason(self) -> str:
+        """Why this entry is not ready, or empty."""
         if not self._configuration.is_known:
             return 'no configuration yet'
         if not self._fleet.agents:
             return 'no agents yet'
-        if self._clock.now() - self._started_at > _SETTLED_MS:
+        if self._clock.now() - self._started_at > _SETTLING_MS:
             return ''
         for policy in self._configuration.policies():
-            name = policy.service_name
-            if policy.kind == 'service' and not self._is_served(name):
-                return f'no backend server of {name} yet'
+            service_name = policy.service_name
+            if policy.kind == 'service' and not self._is_served(service_name):
+                return f'no backend server of {service_name} yet'
         return ''
 
     def _is_served(self, service_name: str) -> bool:
--- a/hyssopring/entry/router.py
+++ b/hyssopring/entry/router.py
@@ -1,10 +1,10 @@
-"""Carries each caller's request to one backend server and its answer back.
+"""Routes each caller's request to a backend server and returns the response.
 
-Guards:
-* A pending call is found by its request id, and its answer is taken only from
-  the agent and connection that it was sent on, so a late or foreign answer
-  reaches no other caller.
-* A call whose connection broke is in doubt: it may have run (``doubt``).
+* A pending call is looked up by its request id, and a response is accepted
+  only from the agent and the connection that the call was sent on. A late or
+  misdirected response therefore reaches no other caller.
+* The outcome of a call whose connection broke is unconfirmed, as it may have
+  run; see ``unconfirmed_calls``.
 """
 
 import random
@@ -22,7 +22,7 @@
     PendingCall,
 )
 from hyssopring.entry.claims import ClaimTable
-from hyssopring.entry.doubt import Doubts
+from hyssopring.entry.unconfirmed_calls import UnconfirmedCalls
 from hyssopring.entry.hedges import Hedges
 from hyssopring.entry.inquiries import (
     RUNNING,
@@ -30,10 +30,10 @@
     Inquiries,
     Inquiry,
 )
-from hyssopring.entry.keyed import KeyedCalls
+from hyssopring.entry.keyed_calls import KeyedCalls
 from hyssopring.entry.liveness import Liveness
-from hyssopring.entry.pending import PendingCalls
-from hyssopring.entry.sending import CallSender
+from hyssopring.entry.pending_calls import PendingCalls
+from hyssopring.entry.call_sender import CallSender
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.logs import Event, log_event
 from hyssopring.membership import AgentRecord, Fleet
@@ -45,11 +45,12 @@
 __all__ = ('CallRouter',)
 
 
-# Refusals of an agent or a backend server that is leaving. Sending elsewhere
-# adds no load, so a planned stop fails no request for want of a send budget.
-_LEFT = frozenset((ErrorKind.STOPPING, ErrorKind.NO_BACKEND))
-# How operators' paths begin, as the operators' port takes them.
-_OPERATORS_PATHS = 'v1/'
+# Refusals by an agent or a backend server that is shutting down. A retry
+# elsewhere adds no load, so it needs no retry budget: a planned stop must not
+# fail requests because the budget is empty.
+_LEAVING_KINDS = frozenset((ErrorKind.STOPPING, ErrorKind.NO_BACKEND))
+# Prefix of the paths that the operators' port serves.
+_OPERATOR_PATH_PREFIX = 'v1/'
 
 
 class CallRouter:
@@ -67,7 +68,19 @@
         rng: random.Random,
         claims: ClaimTable,
     ) -> None:
-        """Take the collaborators; ``rng`` is seeded by the caller."""
+        """Set up routing for one entry.
+
+        Args:
+            clock: The clock for deadlines.
+            zone: This entry's zone, whose backend servers are preferred.
+            fleet: The connected agents and their backend servers.
+            configuration: The services and their policies.
+            links: Sends messages to connected agents.
+            callers: Sends responses to callers.
+            metrics: Receives counters and latencies.
+            rng: Randomness of backend selection, seeded by the caller.
+            claims: The claims of idempotency keys.
+        """
         self._clock = clock
         self._fleet = fleet
         self._configuration = configuration
@@ -83,7 +96,9 @@
             BackendSelector(zone, rng),
             metrics,
         )
-        self._doubts = Doubts(clock, fleet, self._calls, links, self.sender)
+        self._unconfirmed = UnconfirmedCalls(
+            clock, fleet, self._calls, links, self.sender
+        )
         self.liveness = Liveness(
             clock,
             fleet,
@@ -96,7 +111,7 @@
         self._keyed = KeyedCalls(
             self._calls,
             claims,
-            self._doubts,
+            self._unconfirmed,
             self.sender,
         )
         self._hedges = Hedges(
@@ -111,33 +126,33 @@
 
     @property
     def selector(self) -> BackendSelector:
-        """What chooses the backend servers."""
+        """The selector of backend servers."""
         return self.sender.selector
 
     @property
     def pending(self) -> int:
-        """How many calls have not had their answer."""
+        """Number of calls without a final answer."""
         return len(self._calls)
 
     @property
     def next_deadline(self) -> float | None:
-        """When the earliest pending call's time is up."""
+        """Earliest deadline of the pending calls, in clock milliseconds."""
         return min(
             (pending.call.deadline for pending in self._calls),
             default=None,
         )
 
     def stop(self) -> None:
-        """Refuse new calls; those in flight finish."""
+        """Refuse new calls; calls in flight finish."""
         self._is_stopping = True
 
     def submit(self, call: Call) -> None:
-        """Take a caller's request; its answer comes through ``callers``."""
-        admitted = self._admitted_policy(call.service_name)
-        if isinstance(admitted, Err):
-            self._calls.refuse(call, admitted.err_value)
+        """Route a caller's request; ``callers`` receives its answer."""
+        admission = self._admitted_policy(call.service_name)
+        if isinstance(admission, Err):
+            self._calls.refuse(call, admission.err_value)
             return
-        pending = self._new_call(call, admitted.ok_value)
+        pending = self._new_call(call, admission.ok_value)
         self._calls.add(pending)
         choice = self.sender.choose(pending)
         if choice is None:
@@ -149,34 +164,34 @@
         self._admit(pending, choice)
 
     def inquire(self, inquiry: Inquiry, done: AnswerCallback) -> None:
-        """Ask what became of a request; see ``Inquiries``."""
+        """Determine the outcome of a request; see ``Inquiries``."""
         request_id = inquiry.request_id
         is_own = self._calls.get(request_id) is not None
-        if is_own or self._calls.waiting_for(request_id):
+        if is_own or self._calls.calls_awaiting(request_id):
             done(RUNNING)
         else:
             self._inquiries.ask(inquiry, done)
 
-    def forget(self, request_id: str) -> None:
-        """The caller has gone: drop the call if it has not started."""
+    def cancel(self, request_id: str) -> None:
+        """Cancel a call whose caller disconnected, unless it has started."""
         pending = self._calls.get(request_id)
         if pending is not None:
-            self._cancel(pending)
+            self._cancel_attempts(pending)
             self._calls.discard(request_id)
 
     def on_response(self, record: AgentRecord, response: CallResponse) -> None:
-        """Take an agent's answer for a call or an outcome query."""
+        """Handle an agent's response to a call or an outcome query."""
         self.selector.on_response(record, response, self._clock.now())
         request_id = response.request_id
         outcome = CallOutcome.from_wire(response.outcome)
         is_awaited = False
         is_final = outcome not in {CallOutcome.RUNNING, CallOutcome.UNSEEN}
-        waiting = self._calls.waiting_for(request_id) if is_final else ()
+        waiting = self._calls.calls_awaiting(request_id) if is_final else ()
         for pending in waiting:
             attempt = pending.attempt_on(record, request_id)
             if attempt is not None:
                 is_awaited = True
-                self._settle(pending, attempt, response, outcome)
+                self._handle_response(pending, attempt, response, outcome)
         is_inquired = self._inquiries.on_response(record, response)
         if not (is_awaited or is_inquired):
             log_event(
@@ -187,33 +202,33 @@
             self._metrics.count('late_answers_total')
 
     def on_connect(self, record: AgentRecord) -> None:
-        """An agent has connected."""
-        self._doubts.on_connect(record)
+        """Query a connected agent about calls with an unconfirmed outcome."""
+        self._unconfirmed.on_connect(record)
 
     def on_disconnect(self, record: AgentRecord) -> None:
-        """An agent's connection is gone."""
+        """Reset routing state of a disconnected agent, mark its calls lost."""
         self.selector.forget(record)
-        self._doubts.on_disconnect(record)
+        self._unconfirmed.on_disconnect(record)
 
     def tick(self) -> None:
-        """Give up the calls whose deadline has passed."""
-        now = self._clock.now()
+        """Fail calls past their deadline; update all pending work."""
+        now_ms = self._clock.now()
         for pending in self._calls:
-            if pending.call.deadline <= now:
-                self._cancel(pending)
+            if pending.call.deadline <= now_ms:
+                self._cancel_attempts(pending)
                 self._calls.fail(
                     pending,
                     Failure(ErrorKind.DEADLINE, 'the deadline has passed'),
                 )
         self.liveness.tick()
-        self._doubts.tick()
+        self._unconfirmed.tick()
         self._inquiries.tick()
         self._claims.tick()
         self._hedges.tick()
 
     @property
     def is_busy(self) -> bool:
-        """Whether anything waits that ``tick`` must look after."""
+        """Whether ``tick`` has calls, inquiries or claims to process."""
         return bool(
             self._calls or self._inquiries.is_busy or self._claims.is_busy,
         )
@@ -222,22 +237,22 @@
         self,
         service_name: str,
     ) -> Result[ServicePolicy, Failure]:
-        """Return a service's policy, or why its calls are refused now."""
+        """Return a service's policy, or why its calls are refused."""
         if self._is_stopping:
             return Err(Failure(ErrorKind.STOPPING, 'entry is stopping'))
         if not self._configuration.is_known:
-            # A fresh entry in a store outage must not take a service for
-            # unknown: the caller would not come back.
+            # An entry that starts during a store outage knows no services.
+            # Reporting an unknown service would keep the caller from retrying.
             detail = 'no configuration yet'
             return Err(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
         policy = self._configuration.policy(service_name)
         if policy is None or policy.kind != 'service':
-            return Err(_unknown(service_name))
-        over_quota = self.admission.quota_failure(policy)
-        return Ok(policy) if over_quota is None else Err(over_quota)
+            return Err(_unknown_service(service_name))
+        quota_failure = self.admission.quota_failure(policy)
+        return Ok(policy) if quota_failure is None else Err(quota_failure)
 
     def _new_call(self, call: Call, policy: ServicePolicy) -> PendingCall:
-        now = self._clock.now()
+        now_ms = self._clock.now()
         request = CallRequest(
             request_id=call.request_id,
             service_name=call.service_name,
@@ -245,28 +260,28 @@
             path=call.path,
             headers=call.headers,
             body=call.body,
-            budget_ms=call.deadline - now,
+            budget_ms=call.deadline - now_ms,
             urgency=policy.urgency,
             idempotent=policy.idempotent,
         )
-        return PendingCall(call, request, policy.idempotent, now)
+        return PendingCall(call, request, policy.idempotent, now_ms)
 
     def _admit(self, pending: PendingCall, choice: BackendChoice) -> None:
         request = pending.request
-        too_late = self.admission.deadline_failure(
+        deadline_failure = self.admission.deadline_failure(
             choice,
             request.urgency,
             request.budget_ms,
         )
-        if too_late is not None:
-            self._calls.fail(pending, too_late)
+        if deadline_failure is not None:
+            self._calls.fail(pending, deadline_failure)
             return
         if pending.call.key and not pending.idempotent:
             self._keyed.claim(pending, choice)
             return
         self.sender.dispatch(pending, choice)
 
-    def _settle(
+    def _handle_response(
         self,
         pending: PendingCall,
         attempt: Attempt,
@@ -274,46 +289,46 @@
         outcome: CallOutcome,
     ) -> None:
         if outcome is CallOutcome.ANSWERED:
-            self.sender.succeeded()
+            self.sender.on_success()
             self._calls.finish(
                 pending,
                 Answer(response.status, response.headers, response.body),
             )
             return
-        not_run = outcome is CallOutcome.NOT_RUN
-        self._calls.close_attempt(pending, attempt, may_have_run=not not_run)
+        is_not_run = outcome is CallOutcome.NOT_RUN
+        self._calls.close_attempt(pending, attempt, may_have_run=not is_not_run)
         if pending.attempts:
-            # A sibling attempt of an idempotent call may still answer.
+            # Another attempt of an idempotent call may still succeed.
             return
         failure = Failure(
             ErrorKind.from_wire(response.error),
             response.detail,
             response.retry_after_ms or None,
         )
-        if not_run and pending.row is not None:
+        if is_not_run and pending.claim_row is not None:
             self._keyed.move(pending, failure)
             return
-        if not self._repeat(pending, failure, not_run):
+        if not self._try_again(pending, failure, is_not_run):
             self._calls.fail(pending, failure)
 
-    def _repeat(
+    def _try_again(
         self,
         pending: PendingCall,
         failure: Failure,
-        not_run: bool,
+        is_not_run: bool,
     ) -> bool:
-        """Send again what may be; False if nothing was sent."""
-        if not_run and failure.kind in _LEFT:
-            return self.sender.rescue(pending)
-        return (not_run or pending.idempotent) and self.sender.resend(pending)
+        """Send the call again where allowed; False if nothing was sent."""
+        if is_not_run and failure.kind in _LEAVING_KINDS:
+            return self.sender.fail_over(pending)
+        return (is_not_run or pending.idempotent) and self.sender.retry(pending)
 
-    def _cancel(
+    def _cancel_attempts(
         self,
         pending: PendingCall,
         winner: Attempt | None = None,
     ) -> None:
         for attempt in pending.attempts:
-            # What it follows is another caller's, who may still wait.
+            # A followed attempt belongs to another caller, who may still wait.
             is_own = attempt.request_id == pending.call.request_id
             if is_own and attempt is not winner:
                 self._links.send(
@@ -322,10 +337,10 @@
                 )
 
 
-def _unknown(service_name: str) -> Failure:
-    """Return the refusal, and what was probably meant."""
+def _unknown_service(service_name: str) -> Failure:
+    """Return the failure, with a hint for an operator's path."""
     detail = service_name
-    if service_name.startswith(_OPERATORS_PATHS):
+    if service_name.startswith(_OPERATOR_PATH_PREFIX):
         detail = (
             f"{service_name}: this is the callers' port; operators' paths are "
             + "at the entry's other port, its operator_address"
--- a/hyssopring/entry/status.py
+++ b/hyssopring/entry/status.py
@@ -1,7 +1,7 @@
-"""What an entry tells operators: its own part of the whole.
+"""Status documents for operators: the part that one entry knows.
 
 An entry knows the agents connected to it and the tasks of the shards that it
-plans. The command line asks every entry and puts the parts together.
+plans. The command line queries every entry and merges the parts.
 """
 
 from collections import Counter
@@ -24,23 +24,25 @@
 )
 
 
-_Page = Mapping[str, Any]
+_Document = Mapping[str, Any]
 
 
-def fleet_status(core: EntryCore) -> _Page:
-    """Return the fleet as this entry sees it."""
+def fleet_status(core: EntryCore) -> _Document:
+    """Return the entries, the agents connected here, and waiting tasks."""
     tasks_by_agent = Counter(
         planned.task.agent_id
         for planned in core.planner.tasks()
         if planned.task.state is TaskState.ASSIGNED
     )
     return {
-        **_head(core),
+        **_common_fields(core),
         'entries': core.shards.registry.version_by_entry,
         'agents_at_least': core.shards.registry.agent_version_by_entry,
         'operators': core.shards.registry.operators_by_entry,
         'pending': core.router.pending,
-        'agents': [_agent(core, record) for record in core.fleet.agents],
+        'agents': [
+            _describe_agent(core, record) for record in core.fleet.agents
+        ],
         'tasks_by_agent': tasks_by_agent,
         'waiting': [
             {'task': planned.task.task_id, 'why': planned.task.why_waiting}
@@ -50,63 +52,65 @@
     }
 
 
-def job_status(core: EntryCore) -> _Page:
+def job_status(core: EntryCore) -> _Document:
     """Return the batch jobs of the shards that this entry plans."""
     planned_by_job: dict[str, list[PlannedTask]] = {}
     for planned in core.planner.tasks():
         if planned.chunk.kind is TaskKind.BATCH:
             planned_by_job.setdefault(planned.chunk.job_id, []).append(planned)
     return {
-        **_head(core),
+        **_common_fields(core),
         'jobs': [
-            _job(job_id, planned_by_job[job_id])
+            _describe_job(job_id, planned_by_job[job_id])
             for job_id in sorted(planned_by_job)
         ],
     }
 
 
-def keeper_status(core: EntryCore) -> _Page:
-    """Return the keepers of the shards that this entry plans."""
+def keeper_status(core: EntryCore) -> _Document:
+    """Return the keepers, by service, of the shards that this entry plans."""
     planned_by_service: dict[str, list[PlannedTask]] = {}
     for planned in core.planner.tasks():
         is_keeper = planned.chunk.kind is TaskKind.KEEPER
         if is_keeper and not planned.task.is_final:
-            name = planned.chunk.service_name
-            planned_by_service.setdefault(name, []).append(planned)
+            service_name = planned.chunk.service_name
+            planned_by_service.setdefault(service_name, []).append(planned)
     return {
-        **_head(core),
+        **_common_fields(core),
         'keepers': [
-            _keeper(core, name, planned_by_service[name])
-            for name in sorted(planned_by_service)
+            _describe_keeper(
+                core, service_name, planned_by_service[service_name]
+            )
+            for service_name in sorted(planned_by_service)
         ],
     }
 
 
-def team_status(core: EntryCore) -> _Page:
-    """Return each team's quota, and what the planned shards use of it."""
-    used_by_team: dict[str, float] = {}
+def team_status(core: EntryCore) -> _Document:
+    """Return each team's quota and its usage in the planned shards."""
+    cores_by_team: dict[str, float] = {}
     tasks_by_team: Counter[str] = Counter()
     for planned in core.planner.tasks():
         policy = core.configuration.policy(planned.chunk.service_name)
         if policy is not None and planned.task.state is TaskState.ASSIGNED:
-            used = used_by_team.get(policy.team, 0)
-            used_by_team[policy.team] = used + policy.size.cores
+            used_cores = cores_by_team.get(policy.team, 0)
+            cores_by_team[policy.team] = used_cores + policy.size.cores
             tasks_by_team[policy.team] += 1
     return {
-        **_head(core),
+        **_common_fields(core),
         'teams': [
             {
                 'team': team,
                 'tasks': tasks_by_team[team],
-                'cores_used': used_by_team.get(team, 0),
+                'cores_used': cores_by_team.get(team, 0),
                 'cores_quota': core.configuration.team(team).cores,
             }
-            for team in sorted(_teams(core.configuration.policies()))
+            for team in sorted(_team_names(core.configuration.policies()))
         ],
     }
 
 
-def task_status(core: EntryCore, task_id: str) -> _Page | None:
+def task_status(core: EntryCore, task_id: str) -> _Document | None:
     """Return one task, None if this entry does not plan it."""
     for planned in core.planner.tasks():
         if planned.task.task_id == task_id:
@@ -124,7 +128,7 @@
     return None
 
 
-def _head(core: EntryCore) -> dict[str, Any]:
+def _common_fields(core: EntryCore) -> dict[str, Any]:
     return {
         'entry': core.identity.entry_id,
         'configuration': core.configuration.version,
@@ -133,7 +137,7 @@
     }
 
 
-def _agent(core: EntryCore, record: AgentRecord) -> _Page:
+def _describe_agent(core: EntryCore, record: AgentRecord) -> _Document:
     return {
         'id': record.agent_id,
         'zone': record.zone,
@@ -156,35 +160,41 @@
     }
 
 
-def _count_states(planned: Iterable[PlannedTask]) -> Mapping[str, int]:
-    return Counter(each.task.state.value for each in planned)
+def _count_states(planned_tasks: Iterable[PlannedTask]) -> Mapping[str, int]:
+    return Counter(planned.task.state.value for planned in planned_tasks)
 
 
-def _job(job_id: str, planned: list[PlannedTask]) -> _Page:
+def _describe_job(job_id: str, planned_tasks: list[PlannedTask]) -> _Document:
     reasons = Counter(
-        each.task.why_waiting for each in planned if each.task.why_waiting
+        planned.task.why_waiting
+        for planned in planned_tasks
+        if planned.task.why_waiting
     )
     return {
         'job': job_id,
-        'service': planned[0].chunk.service_name,
-        'shard': planned[0].chunk.shard,
-        'tasks': _count_states(planned),
+        'service': planned_tasks[0].chunk.service_name,
+        'shard': planned_tasks[0].chunk.shard,
+        'tasks': _count_states(planned_tasks),
         'why_waiting': '; '.join(
             f'{reason} ({count})' for reason, count in reasons.most_common()
         ),
     }
 
 
-def _keeper(core: EntryCore, name: str, planned: list[PlannedTask]) -> _Page:
-    down = [each.task for each in planned if not _is_up(each)]
-    now = core.clock.now()
-    longest = max((now - task.waiting_since for task in down), default=0)
-    policy = core.configuration.policy(name)
+def _describe_keeper(
+    core: EntryCore,
+    service_name: str,
+    planned_tasks: list[PlannedTask],
+) -> _Document:
+    down = [planned.task for planned in planned_tasks if not _is_up(planned)]
+    now_ms = core.clock.now()
+    longest_ms = max((now_ms - task.waiting_since for task in down), default=0)
+    policy = core.configuration.policy(service_name)
     return {
-        'service': name,
+        'service': service_name,
         'declared': policy.keepers if policy else 0,
-        'up': len(planned) - len(down),
-        'down_s': round(longest / MILLIS_PER_SECOND, 1),
+        'up': len(planned_tasks) - len(down),
+        'down_s': round(longest_ms / MILLIS_PER_SECOND, 1),
         'down': [task.task_id for task in down],
         'why': '; '.join(
             sorted({task.why_waiting for task in down if task.why_waiting}),
@@ -197,5 +207,5 @@
     return task.state is TaskState.ASSIGNED and task.is_confirmed
 
 
-def _teams(policies: Iterable[ServicePolicy]) -> set[str]:
+def _team_names(policies: Iterable[ServicePolicy]) -> set[str]:
     return {policy.team for policy in policies}
--- a/standins/virtual/entry.py
+++ b/standins/virtual/entry.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from hyssopring.entry.core import EntryCore, EntryIdentity
-from hyssopring.entry.jobs import JobDesk
+from hyssopring.entry.job_table import JobTable
 from hyssopring.metrics import Metrics
 from standins.virtual.callers import VirtualCallers
 from standins.virtual.process import Process
@@ -34,7 +34,7 @@
             deployment.shard_settings,
             deployment.lease_times,
         )
-        self.jobs = JobDesk(
+        self.jobs = JobTable(
             self.store,
             self.core.configuration,
             deployment.shard_settings.shards,
@@ -43,7 +43,7 @@
         every = partial(self._every, deployment.loop)
         every(20, self.core.expire_calls)
         every(100, self.core.plan)
-        every(250, self.core.drop_silent)
+        every(250, self.core.close_silent_connections)
         every(500, self.core.poll_table)
         every(1000, self.core.renew)
 
--- a/standins/virtual/links.py
+++ b/standins/virtual/links.py
@@ -31,7 +31,7 @@
         self.is_welcomed = False
         identity = agent.core.identity
         hello = identity.hello('', agent.core.configuration.version)
-        if entry.core.refusal(hello) is not None:
+        if entry.core.admission_failure(hello) is not None:
             self.is_open_at_entry = self.is_open_at_agent = False
             agent.core.directory.closed(self.address, is_refused=True)
             return
--- a/tests/test_borders.py
+++ b/tests/test_borders.py
@@ -12,7 +12,7 @@
 
 from hyssopring.clock import ManualClock
 from hyssopring.entry.callers import CallerResource, WaitingCallers
-from hyssopring.entry.http import bounded_site
+from hyssopring.entry.bounded_http import bounded_site
 from hyssopring.entry.http_calls import HttpRequest, call_from_http
 from hyssopring.entry.links import AgentLinks
 from hyssopring.protocol.codec import encode
@@ -189,7 +189,7 @@
     def __init__(self):
         self.taken = []
 
-    def refusal(self, hello):
+    def admission_failure(self, hello):
         return None
 
     def on_hello(self, hello):
@@ -276,7 +276,7 @@
     wrong.dataReceived(framed(hello('good', 'pr\xf6\xf6f')))
     assert refused.disconnecting
     inner.clock.advance(6000)
-    inner.links.drop_ungreeted()
+    inner.links.close_unauthenticated()
     assert quiet.disconnecting
     assert inner.works()
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -100,7 +100,10 @@
     deployment.run(800)
     answer = deployment.answer(request_id)
     assert answer.failure.kind.value == 'outcome-unknown'
-    assert (answer.ask_agent, answer.ask_id) == (agent.name, request_id)
+    assert (answer.outcome_agent_id, answer.outcome_request_id) == (
+        agent.name,
+        request_id,
+    )
     assert runs_of(deployment, request_id) == 1
 
 
@@ -239,7 +242,7 @@
 
     monkeypatch.setattr(sender.selector, 'choose', counted)
 
-    def resend(left_ms, sent_count=1):
+    def retry(left_ms, sent_count=1):
         deadline = deployment.clock_of(deployment.entry(0).name).now() + left_ms
         call = Call('r', 'trust/booking', 'GET', '/', (), b'', deadline)
         request = CallRequest(
@@ -247,9 +250,9 @@
         )
         pending = PendingCall(call, request, True, 0)
         pending.sent_count = sent_count
-        return sender.resend(pending)
+        return sender.retry(pending)
 
-    assert not any(resend(5.0) for _ in range(30))
-    assert not any(resend(2000.0, sent_count=3) for _ in range(30))
-    assert resend(2000.0)
+    assert not any(retry(5.0) for _ in range(30))
+    assert not any(retry(2000.0, sent_count=3) for _ in range(30))
+    assert retry(2000.0)
     assert len(choices) == 1
