--- a/hyssopring/entry/__init__.py
+++ b/hyssopring/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: takes requests and jobs, and plans the shards that it holds."""
+"""The entry process: routes requests, accepts jobs and plans its shards."""
--- a/hyssopring/entry/decisions.py
+++ b/hyssopring/entry/decisions.py
@@ -116,8 +116,8 @@
 
 
 def _subject_of(fields: Fields) -> str:
-    for name in _SUBJECT_FIELDS:
-        subject = fields.get(name)
+    for field_name in _SUBJECT_FIELDS:
+        subject = fields.get(field_name)
         if subject is not None:
             return str(subject)
     return ''
--- a/hyssopring/entry/http_calls.py
+++ b/hyssopring/entry/http_calls.py
@@ -122,5 +122,5 @@
     )
 
 
-def _malformed(what: str) -> Err[Failure]:
-    return Err(Failure(ErrorKind.MALFORMED, what))
+def _malformed(part: str) -> Err[Failure]:
+    return Err(Failure(ErrorKind.MALFORMED, part))
--- a/hyssopring/entry/operators.py
+++ b/hyssopring/entry/operators.py
@@ -76,7 +76,7 @@
             write_failure(request, Failure(ErrorKind.UNAUTHORIZED, 'token'))
             return NOT_DONE_YET
         method = request.method.decode('latin-1')
-        area, _, rest = path.removeprefix('v1/').partition('/')
+        page_name, _, subpath = path.removeprefix('v1/').partition('/')
         serve_page = {
             'configuration': self._serve_configuration,
             'explain': self._serve_explanation,
@@ -85,11 +85,11 @@
             'status': self._status_page(fleet_status),
             'tasks': self._serve_task,
             'teams': self._status_page(team_status),
-        }.get(area)
+        }.get(page_name)
         if serve_page is None:
             write_failure(request, Failure(ErrorKind.NOT_FOUND, path))
             return NOT_DONE_YET
-        serve_page(request, method, rest)
+        serve_page(request, method, subpath)
         return NOT_DONE_YET
 
     def _serve_public_page(self, request: Request, path: str) -> None:
@@ -103,8 +103,11 @@
 
     def _is_authorized(self, request: Request) -> bool:
         given_header = request.getHeader('authorization') or ''
-        expected = _BEARER + self._token
-        return hmac.compare_digest(given_header.encode(), expected.encode())
+        expected_header = _BEARER + self._token
+        return hmac.compare_digest(
+            given_header.encode(),
+            expected_header.encode(),
+        )
 
     def _serve_configuration(
         self, request: Request, method: str, key: str
@@ -115,13 +118,13 @@
         if method not in {'PUT', 'DELETE'}:
             write_failure(request, Failure(ErrorKind.NOT_FOUND, method))
             return
-        expected = request.getHeader('if-match') or '0'
-        if not expected.isdigit():
+        expected_version = request.getHeader('if-match') or '0'
+        if not expected_version.isdigit():
             write_failure(request, Failure(ErrorKind.MALFORMED, 'If-Match'))
             return
-        text = request.content.read().decode() if method == 'PUT' else ''
+        document = request.content.read().decode() if method == 'PUT' else ''
         self._core.configuration_keeper.change(
-            ConfigurationChange(key, int(expected), text),
+            ConfigurationChange(key, int(expected_version), document),
             partial(_write_change, request),
         )
 
@@ -162,9 +165,9 @@
         self._serve_explanation(request, method, f'task/{task_id}')
 
     def _serve_explanation(
-        self, request: Request, method: str, rest: str
+        self, request: Request, method: str, subpath: str
     ) -> None:
-        kind, _, subject = rest.partition('/')
+        kind, _, subject = subpath.partition('/')
         _write_json(
             request,
             {
@@ -212,17 +215,17 @@
 
 
 def _write_json(request: Request, document: Any) -> None:
-    text = f'{json.dumps(document)}\n'
-    _write(request, _OK, text, 'application/json')
+    page = f'{json.dumps(document)}\n'
+    _write(request, _OK, page, 'application/json')
 
 
 def _write(
     request: Request,
     status: int,
-    text: str,
+    page: str,
     content_type: str = 'text/plain',
 ) -> None:
-    body = text.encode()
+    body = page.encode()
     request.setResponseCode(status)
     request.setHeader('content-type', content_type)
     request.setHeader('content-length', str(len(body)))
--- a/tests/test_borders.py
+++ b/tests/test_borders.py
@@ -1,4 +1,4 @@
-"""What comes from outside: HTTP requests and inner frames, whole or broken."""
+"""Input from outside: HTTP requests and inner frames, valid or malformed."""
 
 import json
 import struct
@@ -32,7 +32,7 @@
 
 
 class Port:
-    """The callers' port of a virtual entry, one connection at a time."""
+    """The callers' port of a virtual entry, with a connection per request."""
 
     def __init__(self):
         self.deployment = booking_deployment()
@@ -102,8 +102,11 @@
 
 
 def test_body_beyond_the_limit_is_refused_while_it_is_read(port):
-    """One caller sends a body without end; buffered whole, or spooled to a
-    disk that these machines do not have, it takes the entry down for all."""
+    """Guard against an entry that fails because of one huge body.
+
+    Buffered in memory, or on a disk that these machines do not have, a body
+    of unlimited size would take down the entry for all callers.
+    """
     head = b'POST /trust/booking/ HTTP/1.1\r\nHost: x\r\n'
     chunked = head + b'Transfer-Encoding: chunked\r\n\r\n'
     block = b'%x\r\n' % 900 + b'.' * 900 + b'\r\n'
@@ -181,13 +184,13 @@
 
 
 class Core:
-    """Takes agents in and counts their messages."""
+    """A core that accepts all agents and records their messages."""
 
     class identity:
         entry_id = 'entry'
 
     def __init__(self):
-        self.taken = []
+        self.received = []
 
     def admission_failure(self, hello):
         return None
@@ -196,21 +199,21 @@
         return hello
 
     def on_message(self, message, record):
-        self.taken.append((record.agent_id, message))
+        self.received.append((record.agent_id, message))
 
     def on_disconnected(self, record):
-        self.taken.append((record.agent_id, None))
+        self.received.append((record.agent_id, None))
 
 
 class Inner:
-    """An entry's inner port with one good agent connected."""
+    """An entry's inner port with one well-behaved agent connected."""
 
     def __init__(self):
         self.clock = ManualClock(1000)
         self.links = AgentLinks(self.clock, 'secret')
         self.core = Core()
         self.links.attach(self.core)
-        self.good, _ = self.connect('good')
+        self.good_agent, _ = self.connect('good')
 
     def connect(self, agent_id=None):
         connection = self.links.buildProtocol(None)
@@ -224,10 +227,10 @@
             connection.dataReceived(framed(hello(agent_id, proof)))
         return connection, transport
 
-    def works(self):
-        before = len(self.core.taken)
-        self.good.dataReceived(framed(BEAT))
-        return self.core.taken[before:] == [('good', BEAT)]
+    def is_working(self):
+        before = len(self.core.received)
+        self.good_agent.dataReceived(framed(HEARTBEAT))
+        return self.core.received[before:] == [('good', HEARTBEAT)]
 
 
 def hello(agent_id, proof):
@@ -239,59 +242,63 @@
     return struct.pack('!I', len(payload)) + payload
 
 
-BEAT = Heartbeat(1, 0, (), Resources(1, 1, 0), False)
-WHOLE = encode(CallResponse('r', 'answered', 200, (), b'body'))
+HEARTBEAT = Heartbeat(1, 0, (), Resources(1, 1, 0), False)
+VALID_RESPONSE = encode(CallResponse('r', 'answered', 200, (), b'body'))
 
 
 @FUZZ
 @given(st.data())
 def test_any_inner_frames_harm_no_other_agent(data):
-    """A peer of another version, or none of ours, writes what it likes."""
+    """A peer of another version, or a foreign one, writes arbitrary bytes."""
     inner = Inner()
-    is_greeted = data.draw(st.booleans())
-    bad, transport = inner.connect('bad' if is_greeted else None)
-    broken = data.draw(
+    is_authenticated = data.draw(st.booleans())
+    bad_peer, transport = inner.connect('bad' if is_authenticated else None)
+    malformed_frame = data.draw(
         st.binary(max_size=40).map(framed)
         | st.binary(max_size=40)
-        | st.integers(0, len(WHOLE) - 1).map(
-            lambda at: framed(WHOLE[:at] + b'\xff' + WHOLE[at + 1 :])
+        | st.integers(0, len(VALID_RESPONSE) - 1).map(
+            lambda at: framed(
+                VALID_RESPONSE[:at] + b'\xff' + VALID_RESPONSE[at + 1 :]
+            )
         )
     )
-    bad.dataReceived(broken + framed(BEAT))
+    bad_peer.dataReceived(malformed_frame + framed(HEARTBEAT))
     if transport.disconnecting:
-        taken = len(inner.core.taken)
-        bad.dataReceived(framed(BEAT))
-        assert len(inner.core.taken) == taken
-    assert is_greeted or not inner.core.taken
-    assert inner.works()
+        received_count = len(inner.core.received)
+        bad_peer.dataReceived(framed(HEARTBEAT))
+        assert len(inner.core.received) == received_count
+    assert is_authenticated or not inner.core.received
+    assert inner.is_working()
 
 
 def test_peer_without_the_secret_is_bounded_in_bytes_and_time():
     inner = Inner()
-    _, quiet = inner.connect()
-    stranger, transport = inner.connect()
-    stranger.dataReceived(struct.pack('!I', 1_000_000))
+    _, silent_transport = inner.connect()
+    unknown_peer, transport = inner.connect()
+    unknown_peer.dataReceived(struct.pack('!I', 1_000_000))
     assert transport.disconnecting
-    wrong, refused = inner.connect()
-    wrong.dataReceived(framed(hello('good', 'pr\xf6\xf6f')))
-    assert refused.disconnecting
+    wrong_peer, wrong_transport = inner.connect()
+    wrong_peer.dataReceived(framed(hello('good', 'pr\xf6\xf6f')))
+    assert wrong_transport.disconnecting
     inner.clock.advance(6000)
     inner.links.close_unauthenticated()
-    assert quiet.disconnecting
-    assert inner.works()
+    assert silent_transport.disconnecting
+    assert inner.is_working()
 
 
 def test_frame_after_a_broken_one_is_not_read():
-    taken, errors = [], []
+    received, errors = [], []
     connection = InnerConnection(
         ManualClock(),
         lambda _connection: None,
-        lambda _connection, message: taken.append(message),
+        lambda _connection, message: received.append(message),
         lambda _connection, detail: errors.append(detail),
         lambda _connection: None,
     )
     transport = StringTransport()
     transport.setTcpNoDelay = lambda _is_on: None
     connection.makeConnection(transport)
-    connection.dataReceived(framed(BEAT) + framed(b'\x00\x00') + framed(BEAT))
-    assert taken == [BEAT] and len(errors) == 1
+    connection.dataReceived(
+        framed(HEARTBEAT) + framed(b'\x00\x00') + framed(HEARTBEAT)
+    )
+    assert received == [HEARTBEAT] and len(errors) == 1
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Keyed requests run at most once, from whichever entry they come."""
+"""Keyed requests run at most once, at whichever entry they are submitted."""
 
 import random
 
@@ -20,8 +20,11 @@
 
 @pytest.mark.parametrize('wait', [5, 50, 500])
 def test_resubmission_through_another_entry_gets_the_first_answer(wait):
-    """The parent's phone loses the connection and books again through another
-    entry, while the first copy is claimed, runs or has run: two ponies."""
+    """Guard against running a resubmitted request a second time.
+
+    The caller loses its connection and resubmits through another entry, while
+    the first copy is being claimed, is running or has completed.
+    """
     deployment = booking_deployment()
     first = book(deployment, ms=100)
     deployment.run(wait)
@@ -43,8 +46,11 @@
 
 
 def test_request_that_never_arrived_is_taken_over_and_its_late_copy_refused():
-    """The entry is paused just before it sends a claimed booking. Submitted
-    again elsewhere it runs; then the entry wakes and sends the first copy."""
+    """Guard against a late copy from an entry that was paused.
+
+    The entry is paused just before it sends a claimed request. Resubmitted
+    elsewhere, the request runs; then the entry resumes and sends its copy.
+    """
     deployment = booking_deployment()
     first = book(deployment)
     entry = deployment.entry(0)
@@ -61,8 +67,11 @@
 
 
 def test_outcome_is_unknown_when_the_agent_lost_its_memory():
-    """The agent dies with the booking's outcome; submitted again, it would be
-    booked twice if the fresh agent were believed."""
+    """Guard against trusting a new incarnation that has no record of a call.
+
+    The agent crashes with the request's outcome; a resubmitted request must
+    not run, as the first may have.
+    """
     deployment = booking_deployment()
     first = book(deployment)
     deployment.run(200)
@@ -81,8 +90,10 @@
 
 
 def test_store_outage_refuses_keyed_requests_at_once_and_no_others():
-    """Nobody can say whether the key was used: sent all the same, a second
-    copy through another entry would run too; held, the caller waits in vain."""
+    """Guard against keyed requests running twice, or hanging, in an outage.
+
+    Without the table, whether a key is claimed is unknown.
+    """
     deployment = booking_deployment()
     deployment.table.outage = True
     first = book(deployment)
@@ -132,16 +143,18 @@
 
 
 class Rig:
+    """Claim tables of several entries on one table and one virtual clock."""
+
     def __init__(self):
         self.loop = Loop()
         self.table = Table()
         self.day = 20_000
         self.answers = []
 
-    def claims(self, day=0):
+    def claims(self, day_offset=0):
         store = VirtualStore(self.loop, self.table)
         claims = ClaimTable(
-            self.loop.clock, store, lambda: self.day + day, Metrics()
+            self.loop.clock, store, lambda: self.day + day_offset, Metrics()
         )
         self.loop.every(20, claims.tick)
         return claims
@@ -155,8 +168,11 @@
 
 @pytest.mark.parametrize('offset', [-1, 0, 1])
 def test_key_is_found_after_midnight_and_with_another_calendar(offset):
-    """A booking at 23:59:59 comes again at 00:00:01, or at an entry whose
-    calendar is a day off, and finds its key unused."""
+    """Guard against a key that seems unused when the day's bucket changes.
+
+    A request is repeated after midnight, or at an entry whose calendar
+    differs by a day.
+    """
     rig = Rig()
     assert isinstance(rig.insert(rig.claims(), 'r'), Claimed)
     answer = rig.insert(rig.claims(offset), 'q')
@@ -164,9 +180,12 @@
 
 
 def test_old_move_does_not_take_a_key_that_was_released_and_claimed_anew():
-    """Entry 1 reads a claim and is slow to take it over. Meanwhile the claim
-    is released and another request claims the key and runs. With rows deleted
-    on release, versions start again and the old compare-and-set succeeds."""
+    """Guard against a delayed compare-and-set that replaces a newer claim.
+
+    An entry reads a claim and moves it late. Meanwhile the claim is released,
+    and another request claims the key and runs. If a release deleted the row,
+    versions would restart and the compare-and-set would succeed.
+    """
     rig = Rig()
     claims = rig.claims()
     old = rig.insert(claims, 'r').row
@@ -196,8 +215,10 @@
             lambda answer, key=key: answers.setdefault(key, answer.unwrap()),
         )
     rig.loop.run(100)
-    split = {key for key, each in answers.items() if isinstance(each, Taken)}
-    assert split == taken and len(answers) == 100
+    refused = {
+        key for key, answer in answers.items() if isinstance(answer, Taken)
+    }
+    assert refused == taken and len(answers) == 100
     assert rig.table.commits - before <= 3
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands against a small deployment of real processes."""
+"""Operators' commands on a small deployment of real processes."""
 
 import json
 import time
@@ -29,30 +29,33 @@
     monkeypatch.setenv('HYSSOPRING_ENTRY', deployment.entries[0]['operators'])
 
     def run(line, document=None):
-        words = line.split()
+        arguments = line.split()
         if document is not None:
             path = tmp_path / 'document.json'
             path.write_text(f'// A comment.\n{document}')
-            words = [str(path) if word == 'FILE' else word for word in words]
+            arguments = [
+                str(path) if argument == 'FILE' else argument
+                for argument in arguments
+            ]
         try:
-            main(words)
+            main(arguments)
         except SystemExit as stop:
             code = int(stop.code)
         else:
             code = 0
-        seen = capsys.readouterr()
-        return code, seen.out, seen.err
+        output = capsys.readouterr()
+        return code, output.out, output.err
 
     return run
 
 
-def rows(operate, line):
+def rows_of(operate, line):
     code, out, err = operate(f'{line} --json')
     assert code == 0, err
     return json.loads(out)['rows']
 
 
-def until(check, seconds=12):
+def wait_until(check, seconds=12):
     deadline = time.monotonic() + seconds
     while not check():
         assert time.monotonic() < deadline
@@ -73,9 +76,11 @@
 
 
 def test_slower_of_two_operators_is_told_the_current_version(operate):
-    """Two operators read version N; both change the item. The second would
-    silently undo the first's work. The table takes one; the other gets exit
-    code 1 and a line with the version that is now current."""
+    """Guard against one operator silently undoing another's change.
+
+    Two operators change an item after they read the same version. One change
+    is accepted; the other gets exit code 1 and the current version.
+    """
     _, out, _ = operate('submit team/race FILE --json', '{"cores": 1}')
     version = json.loads(out)['version']
     _, out, _ = operate(
@@ -94,15 +99,17 @@
 
 
 def test_every_status_page_answers(operate):
-    fleet = rows(operate, 'status')
+    fleet = rows_of(operate, 'status')
     assert [agent['id'] for agent in fleet] == ['agent-0', 'agent-1', 'agent-2']
-    until(lambda: [row['up'] for row in rows(operate, 'status keepers')] == [2])
-    teams = {row['team']: row for row in rows(operate, 'status teams')}
+    wait_until(
+        lambda: [row['up'] for row in rows_of(operate, 'status keepers')] == [2]
+    )
+    teams = {row['team']: row for row in rows_of(operate, 'status teams')}
     assert teams['trust']['cores_used'] >= 2
-    assert len(rows(operate, 'status versions')) == 5
-    until(
+    assert len(rows_of(operate, 'status versions')) == 5
+    wait_until(
         lambda: (
-            len({row['version'] for row in rows(operate, 'status versions')})
+            len({row['version'] for row in rows_of(operate, 'status versions')})
             == 1
         ),
         seconds=3,
@@ -120,9 +127,11 @@
 
 
 def test_request_is_explained_through_any_entry(deployment, operate):
-    """Another entry routed it than the one that the operator asks."""
+    """The operator queries another entry than the one that routed it."""
     status, _, headers = call_with_headers(deployment.entries[1]['callers'])
-    found = rows(operate, f'explain request {headers["hyssopring-request-id"]}')
+    found = rows_of(
+        operate, f'explain request {headers["hyssopring-request-id"]}'
+    )
     assert status == 200
     assert [row['what'] for row in found][0] == 'REQUEST_ROUTED'
     assert {row['entry'] for row in found} == {'entry-1'}
@@ -134,31 +143,32 @@
     operate('submit parameters/trust/giant FILE --wait', '{}')
     code, _, err = operate('run never trust giant --tasks 2')
     assert code == 1 and 'no worker is large enough' in err
-    # It fits an empty VM only, and each VM has its backend server.
+    # It needs an empty VM, and each VM runs a backend server.
     operate('submit template/whole FILE', SIZE.replace('1,', '16,') + '100}')
     operate('submit parameters/trust/whole FILE --wait', '{}')
     assert operate('run big trust whole --tasks 2')[0] == 0
-    until(
+    wait_until(
         lambda: (
             'no room' in operate('explain task big:1')[1] + operate('jobs')[1]
         )
     )
     assert operate('cancel big:0')[0] == 0
-    until(lambda: 'cancelled=1' in operate('job big')[1])
+    wait_until(lambda: 'cancelled=1' in operate('job big')[1])
     assert operate('cancel big')[0] == 0
-    until(lambda: 'cancelled=2' in operate('job big')[1])
+    wait_until(lambda: 'cancelled=2' in operate('job big')[1])
     code, _, err = operate('cancel nosuch')
     assert code == 1 and 'no such job' in err
 
 
 def test_drained_vm_gives_its_batch_tasks_away_and_takes_none(operate):
-    """A VM is to be replaced at noon. Its rebuilds move with their
-    checkpoints, callers see no error, its keepers stay until told to go;
-    after undrain it works again."""
+    """A drained VM's batch tasks move to other VMs with their checkpoints.
+
+    It accepts no new tasks until undrain; its keepers stay.
+    """
     operate('submit template/rebuild FILE', SIZE + '6000}')
     operate('submit parameters/trust/rebuild FILE --wait', '{}')
     operate('run title trust rebuild --tasks 6')
-    until(lambda: 'assigned=6' in operate('job title')[1])
+    wait_until(lambda: 'assigned=6' in operate('job title')[1])
     code, out, err = operate('drain agent-1 --why=disk --wait')
     assert code == 0 and 'in force' in out, err
 
@@ -167,15 +177,17 @@
         tasks = [json.loads(page)['task'] for page in pages]
         return [each for each in tasks if each['agent'] == 'agent-1']
 
-    until(lambda: not batch_on_drained())
-    drained = [row for row in rows(operate, 'status') if row['drained']]
+    wait_until(lambda: not batch_on_drained())
+    drained = [row for row in rows_of(operate, 'status') if row['drained']]
     assert [row['id'] for row in drained] == ['agent-1']
     assert drained[0]['stopping']
     assert operate('drain agent-1')[0] == 1
     assert operate('undrain agent-1 --wait')[0] == 0
-    until(lambda: not any(row['stopping'] for row in rows(operate, 'status')))
+    wait_until(
+        lambda: not any(row['stopping'] for row in rows_of(operate, 'status'))
+    )
     assert operate('undrain agent-1')[0] == 1
-    until(lambda: 'completed=6' in operate('job title')[1], 30)
+    wait_until(lambda: 'completed=6' in operate('job title')[1], 30)
 
 
 def call_with_headers(address):
@@ -185,7 +197,7 @@
     connection.request('POST', '/trust/booking/lessons', 'rider')
     response = connection.getresponse()
     headers = {name.lower(): text for name, text in response.getheaders()}
-    # Each once: the backend server's own replace the library's.
+    # Each header once: the backend server's replace those of the entry.
     assert len(headers) == len(response.getheaders())
     connection.close()
     return response.status, None, headers
--- a/tests/test_processes_requests.py
+++ b/tests/test_processes_requests.py
@@ -1,6 +1,6 @@
 """Requests through real processes and sockets that are killed and stopped.
 
-A few whole stories only; their variations are in test_router and test_claims.
+A few end-to-end cases; their variants are in test_router and test_claims.
 """
 
 import http.client
@@ -62,10 +62,10 @@
                     '20',
                 ],
             )
-        await_true(lambda: sees_all(running))
+        wait_until(lambda: sees_all_backends(running))
         yield running
     finally:
-        # They would announce for 3 s that they leave.
+        # Stopped with SIGTERM, they would announce their leaving for 3 s.
         for name, process in running.processes.items():
             if name.startswith(('backend', 'page')):
                 process.kill()
@@ -73,51 +73,57 @@
 
 
 def free_port():
-    with socket.socket() as each:
-        each.bind(('127.0.0.1', 0))
-        return each.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind(('127.0.0.1', 0))
+        return probe.getsockname()[1]
 
 
-def await_true(condition, seconds=10):
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends:
+def wait_until(condition, seconds=10):
+    ends_at = time.monotonic() + seconds
+    while time.monotonic() < ends_at:
         if condition():
             return
         time.sleep(0.05)
     raise AssertionError('not in time')
 
 
-def sees_others(deployment):
-    return sees_all(deployment, 1)
+def sees_all_but_one_backend(deployment):
+    return sees_all_backends(deployment, 1)
 
 
-def sees_all(deployment, lacking=0):
-    """Whether each entry knows each agent with its two backend servers."""
+def sees_all_backends(deployment, max_missing=0):
+    """Whether each entry has each agent's two backend servers.
+
+    Args:
+        max_missing: How many backend servers may be missing.
+    """
     for entry in range(len(deployment.entries)):
         try:
             status, body = deployment.operate('GET', 'status', entry=entry)
         except OSError:
             return False
         agents = json.loads(body)['agents'] if status == 200 else []
-        found = sum(len(agent['backends']) for agent in agents)
-        if found < 2 * len(deployment.agents) - lacking:
+        backend_count = sum(len(agent['backends']) for agent in agents)
+        if backend_count < 2 * len(deployment.agents) - max_missing:
             return False
     return True
 
 
 class Reply:
-    def __init__(self, response, took):
+    def __init__(self, response, took_s):
         self.status = response.status
         self.headers = response.headers
         self.body = response.read()
-        self.took = took
+        self.took_s = took_s
 
     @property
     def document(self):
         return json.loads(self.body)
 
 
-def ask(deployment, path, method='GET', body=None, headers=None, entry=0):
+def send_request(
+    deployment, path, method='GET', body=None, headers=None, entry=0
+):
     host, port = deployment.entries[entry]['callers'].split(':')
     connection = http.client.HTTPConnection(host, int(port), timeout=15)
     started = time.monotonic()
@@ -129,14 +135,14 @@
         connection.close()
 
 
-def asked(deployment, count, *arguments, **options):
-    """Start ``count`` requests at once; returns their replies' list."""
+def start_requests(deployment, count, *arguments, **options):
+    """Start ``count`` requests at once; return their threads and replies."""
     replies = []
 
-    def one():
-        replies.append(ask(deployment, *arguments, **options))
+    def send_one():
+        replies.append(send_request(deployment, *arguments, **options))
 
-    threads = [threading.Thread(target=one) for _ in range(count)]
+    threads = [threading.Thread(target=send_one) for _ in range(count)]
     for thread in threads:
         thread.start()
     return threads, replies
@@ -150,50 +156,55 @@
 
 
 def test_paused_agent_delays_no_page_and_doubles_no_booking(deployment):
-    """An agent's VM is paused for 1.2 s with requests under way. Pages come
-    from elsewhere meanwhile; its bookings end once, with their own answers."""
-    booked, bookings = asked(
+    """Guard against delayed pages and doubled bookings when a VM is paused.
+
+    The agent is stopped for more than 1 s with requests in flight. Idempotent
+    pages are served elsewhere meanwhile; its bookings run once.
+    """
+    booking_threads, bookings = start_requests(
         deployment, 12, '/trust/booking/?ms=400', 'POST', 'ana'
     )
     time.sleep(0.15)
     process = deployment.processes['agent-0']
     process.send_signal(signal.SIGSTOP)
     try:
-        read, pages = asked(deployment, 12, '/trust/page/?ms=20')
-        for thread in read:
+        page_threads, pages = start_requests(
+            deployment, 12, '/trust/page/?ms=20'
+        )
+        for thread in page_threads:
             thread.join()
         time.sleep(0.3)
     finally:
         process.send_signal(signal.SIGCONT)
-    for thread in booked:
+    for thread in booking_threads:
         thread.join()
     assert [page.status for page in pages] == [200] * 12
-    assert max(page.took for page in pages) < 1.2
-    assert [each.status for each in bookings] == [200] * 12
-    assert {each.document['echo'] for each in bookings} == {'ana'}
+    assert max(page.took_s for page in pages) < 1.2
+    assert [booking.status for booking in bookings] == [200] * 12
+    assert {booking.document['echo'] for booking in bookings} == {'ana'}
 
 
 def test_killed_agent_leaves_bookings_unknown_and_pages_answered(deployment):
-    """kill -9 of an agent in the middle of requests."""
-    booked, bookings = asked(
+    """An agent is killed with SIGKILL while requests are in flight."""
+    booking_threads, bookings = start_requests(
         deployment, 12, '/trust/booking/?ms=600', 'POST', 'ana'
     )
-    read, pages = asked(deployment, 12, '/trust/page/?ms=600')
+    page_threads, pages = start_requests(deployment, 12, '/trust/page/?ms=600')
     time.sleep(0.25)
     restart(deployment, 'agent-1', signal.SIGKILL)
-    for thread in booked + read:
+    for thread in booking_threads + page_threads:
         thread.join()
     assert [page.status for page in pages] == [200] * 12
-    lost = [each for each in bookings if each.status != 200]
+    lost = [booking for booking in bookings if booking.status != 200]
     assert lost, 'no booking was at the agent that was killed'
-    for each in lost:
-        assert each.document['error'] == 'outcome-unknown'
-        assert each.document['ran'] == 'unknown'
-        assert each.headers['Hyssopring-Request-Id']
-        assert each.headers['Retry-After']
-        later = ask(deployment, each.document['ask'], entry=1)
-        assert later.document['error'] == 'outcome-unknown'
-    await_true(lambda: sees_all(deployment))
+    for booking in lost:
+        assert booking.document['error'] == 'outcome-unknown'
+        assert booking.document['ran'] == 'unknown'
+        assert booking.headers['Hyssopring-Request-Id']
+        assert booking.headers['Retry-After']
+        inquiry = send_request(deployment, booking.document['ask'], entry=1)
+        assert inquiry.document['error'] == 'outcome-unknown'
+    wait_until(lambda: sees_all_backends(deployment))
 
 
 def test_resubmitted_booking_gets_the_first_answer_from_another_entry(
@@ -201,24 +212,26 @@
 ):
     key = {'Idempotency-Key': 'lesson-7'}
     path = '/trust/booking/?ms=300'
-    booked, first = asked(deployment, 1, path, 'POST', 'eva', key)
+    booking_threads, first = start_requests(
+        deployment, 1, path, 'POST', 'eva', key
+    )
     time.sleep(0.1)
-    second = ask(deployment, path, 'POST', 'eva', key, entry=1)
-    booked[0].join()
+    second = send_request(deployment, path, 'POST', 'eva', key, entry=1)
+    booking_threads[0].join()
     assert first[0].body == second.body
-    other = ask(deployment, path, 'POST', 'ana', key, entry=1)
+    other = send_request(deployment, path, 'POST', 'ana', key, entry=1)
     assert other.document['error'] == 'conflict'
 
 
 def test_cut_answer_reaches_nobody_as_whole(deployment):
-    """The backend server's connection ends in the middle of its answer."""
-    reply = ask(deployment, '/trust/booking/cut', 'POST', 'ana')
+    """The backend server's connection closes in the middle of a response."""
+    reply = send_request(deployment, '/trust/booking/cut', 'POST', 'ana')
     assert (reply.status, reply.document['error']) == (502, 'truncated')
     assert reply.document['ran'] == 'ran'
 
 
 class SilentAgent:
-    """Greets an entry as an agent with many free slots; then no word."""
+    """An agent that connects with many free slots and then sends nothing."""
 
     def __init__(self, address):
         host, port = address.split(':')
@@ -258,7 +271,7 @@
         return received
 
     def calls(self):
-        """Calls that were written to it until the connection ended."""
+        """Number of calls received until the connection closed."""
         self.socket.settimeout(5)
         found = 0
         try:
@@ -271,21 +284,26 @@
 def test_page_on_a_connection_that_went_silent_comes_from_elsewhere(
     deployment,
 ):
-    """Something in between has lost track of a connection: what is written to
-    it vanishes, nothing says so, and new connections work."""
+    """Guard against pages lost on a connection that went silent.
+
+    Data written to the connection is dropped without an error, while new
+    connections work.
+    """
     silent = SilentAgent(deployment.entries[0]['inner'])
     time.sleep(0.1)
-    read, pages = asked(deployment, 24, '/trust/page/?ms=20')
-    for thread in read:
+    page_threads, pages = start_requests(deployment, 24, '/trust/page/?ms=20')
+    for thread in page_threads:
         thread.join()
     assert [page.status for page in pages] == [200] * 24
-    assert max(page.took for page in pages) < 2
+    assert max(page.took_s for page in pages) < 2
     assert silent.calls(), 'no page was sent to the silent connection'
 
 
 def test_rolling_restart_fails_no_request(deployment):
-    """A backend server, an agent and each entry are stopped as planned and
-    started anew under load; a balancer follows /healthz."""
+    """A backend server, an agent and each entry are restarted under load.
+
+    A balancer polls /healthz and sends requests to healthy entries only.
+    """
     load = Load(deployment)
     load.start()
     try:
@@ -293,10 +311,10 @@
         leaving.send_signal(signal.SIGTERM)
         for name in ('agent-0', 'entry-0', 'entry-1'):
             restart(deployment, name)
-            await_true(lambda: sees_others(deployment), 12)
+            wait_until(lambda: sees_all_but_one_backend(deployment), 12)
         leaving.wait(5)
         deployment.spawn('backend-1', leaving.args)
-        await_true(lambda: sees_all(deployment))
+        wait_until(lambda: sees_all_backends(deployment))
     finally:
         load.stop()
     assert load.failures == []
@@ -304,11 +322,11 @@
 
 
 class Load:
-    """Callers behind a balancer that looks at each entry's health."""
+    """Callers behind a balancer that polls each entry's health."""
 
     def __init__(self, deployment):
         self.deployment = deployment
-        self.is_over = False
+        self.is_stopped = False
         self.served = 0
         self.failures = []
         self.healthy = [True] * len(deployment.entries)
@@ -323,12 +341,12 @@
             thread.start()
 
     def stop(self):
-        self.is_over = True
+        self.is_stopped = True
         for thread in self.threads:
             thread.join()
 
     def _balance(self):
-        while not self.is_over:
+        while not self.is_stopped:
             for number, entry in enumerate(self.deployment.entries):
                 try:
                     status, _ = http_call(entry['callers'], 'GET', '/healthz')
@@ -340,44 +358,46 @@
             time.sleep(0.05)
 
     def _call(self, number):
-        """Send over kept connections, as a balancer does.
+        """Send over persistent connections, as a balancer does.
 
-        A balancer drops its connections to an entry once its health is bad; a
-        caller whose request to another entry outlasts the whole restart would
-        else write on a connection to a process that ended long ago.
+        A balancer closes its connections to an entry that becomes unhealthy.
+        Otherwise a caller whose request to another entry outlasts the restart
+        would write to a connection of a process that has exited.
         """
-        kept = {}
-        turn = number
-        while not self.is_over:
-            turn += 1
-            entry = turn % len(self.healthy)
+        connection_by_start = {}
+        request_count = number
+        while not self.is_stopped:
+            request_count += 1
+            entry = request_count % len(self.healthy)
             if not self.healthy[entry]:
                 continue
             stops = self.stops[entry]
-            path = ('/trust/booking/', '/trust/page/')[turn // 2 % 2]
-            # Most callers' requests last longer than a process that is told
-            # to stop would live if it waited for none.
+            path = ('/trust/booking/', '/trust/page/')[request_count // 2 % 2]
+            # Most requests last longer than a stopping process would run if
+            # it did not wait for requests in flight.
             path += '?ms=1500' if number > 1 else ''
-            text = f'{number}-{turn}'
-            if (entry, stops) not in kept:
+            body = f'{number}-{request_count}'
+            if (entry, stops) not in connection_by_start:
                 host, port = self.deployment.entries[entry]['callers'].split(
                     ':'
                 )
-                kept[entry, stops] = http.client.HTTPConnection(
+                connection_by_start[entry, stops] = http.client.HTTPConnection(
                     host, int(port), timeout=15
                 )
             try:
-                kept[entry, stops].request('POST', path, text)
-                reply = Reply(kept[entry, stops].getresponse(), 0)
+                connection_by_start[entry, stops].request('POST', path, body)
+                reply = Reply(
+                    connection_by_start[entry, stops].getresponse(), 0
+                )
             except ConnectionRefusedError:
-                # Nothing was sent; a balancer takes another entry.
-                kept.pop((entry, stops))
+                # Nothing was sent; a balancer uses another entry.
+                connection_by_start.pop((entry, stops))
                 continue
             except OSError as error:
                 self.failures.append(repr(error))
-                kept.pop((entry, stops))
+                connection_by_start.pop((entry, stops))
                 continue
-            if reply.status == 200 and reply.document['echo'] == text:
+            if reply.status == 200 and reply.document['echo'] == body:
                 self.served += 1
             else:
                 self.failures.append(
--- a/tests/test_random_runs.py
+++ b/tests/test_random_runs.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the whole deployment: the harness proves itself."""
+"""Random runs of a complete deployment, and checks of the harness itself."""
 
 import os
 import re
@@ -37,10 +37,10 @@
 
 
 def test_seed_repeats_its_run_whatever_the_hash_seed():
-    """A seed that was printed as failing must fail again elsewhere.
+    """Guard against a failing seed that passes in another process.
 
-    Sets and ids are ordered by hashes that differ from process to process;
-    an order that reaches a decision makes another run of the same seed.
+    Sets are ordered by hashes that differ between processes. If such an order
+    affects a decision, the same seed gives a different run.
     """
     lines = set()
     for hash_seed in ('1', '2'):
@@ -59,8 +59,10 @@
 
 
 def test_broken_ledger_is_found_and_shrunk(monkeypatch):
-    """Proof that the checks can fail: with the agent's admission taken out,
-    a VM is given more than it holds, and the run says so with a short cause."""
+    """Show that the checks can fail, and that shrinking finds a short cause.
+
+    Without the agents' admission control, a VM exceeds its capacity.
+    """
 
     def reserve(ledger, owner, size, *others, **options):
         ledger.adopt(owner, size)
@@ -131,7 +133,7 @@
 
 
 class Deployment(RuleBasedStateMachine):
-    """Work, faults and time in any order; then all must come to its end."""
+    """Work, faults and delays in any order; then all work must complete."""
 
     @initialize(seed=st.integers(0, 9))
     def begin(self, seed):
@@ -159,7 +161,7 @@
     stateful_step_count=25,
     deadline=None,
     database=None,
-    # Shrinking is soak's own; here it would take minutes.
+    # The soak has its own shrinking; Hypothesis would take minutes.
     phases=(Phase.explicit, Phase.generate),
     suppress_health_check=tuple(HealthCheck),
 )
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, in one process under a virtual clock."""
+"""Requests, configuration and jobs end to end, under a virtual clock."""
 
 import json
 
@@ -31,12 +31,12 @@
 
 def test_request_reaches_a_backend_and_its_own_answer_returns():
     deployment = booking_deployment()
-    asked = [
+    request_ids = [
         deployment.call(entry=number % 2, body=f'rider {number}'.encode())
         for number in range(20)
     ]
     deployment.run(1000)
-    for number, request_id in enumerate(asked):
+    for number, request_id in enumerate(request_ids):
         answer = deployment.answer(request_id)
         assert answer.status == 200
         assert answer.body == f'echo:rider {number}'.encode()
@@ -70,10 +70,10 @@
     entry.jobs.describe('morning', described.append)
     deployment.run(100)
     assert described[0].unwrap()['tasks'] == {'completed': 6}
-    ends = [
+    completed = [
         task_id
         for agent in deployment.agent_by_name.values()
         for _, what, task_id in agent.worker.worker.history
         if what == 'complete'
     ]
-    assert sorted(ends) == [f'morning:{number}' for number in range(6)]
+    assert sorted(completed) == [f'morning:{number}' for number in range(6)]
