--- a/bench/store_groups.py
+++ b/bench/store_groups.py
@@ -8,7 +8,7 @@
 
 from result import Ok
 
-from hyssopring.store.queue import StoreQueue, StoreTimes
+from hyssopring.store.queue import StoreLimits, StoreQueue
 from hyssopring.store.rows import Check, Committed, Put, Transaction
 from standins.table import Table
 from standins.virtual import Loop
@@ -28,7 +28,7 @@
             self.loop.clock,
             self,
             random.Random(1),
-            StoreTimes(max_merged=max_merged, commits_per_s=TABLE_PER_S),
+            StoreLimits(max_merged=max_merged, commits_per_s=TABLE_PER_S),
         )
         for client in range(clients):
             self.next(client, 0)
--- a/hyssopring/configuration/__init__.py
+++ b/hyssopring/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Templates, parameters and quotas, and how changes come into force."""
+"""Templates, parameters, quotas and drains, and changes to them."""
 
 from hyssopring.configuration.batch import (
     AcceptedChange,
--- a/hyssopring/configuration/changes.py
+++ b/hyssopring/configuration/changes.py
@@ -1,15 +1,15 @@
-"""Accepts operators' changes into the table.
-
-All changes are put in one order by the head row: a commit checks that the
-head has not moved since this process had the whole state at that version, so
-what an operator expects is compared with what is in force at that moment. Of
-two racing operators one wins and the other is told the current version.
-Changes that arrive while a commit is under way go together into the next.
-
-A lost answer: the commit also checks that its own log row does not exist
-yet. Log rows are never overwritten, so when a retry finds that row there,
-its operation id says for certain whose change took that version, also when
-others have since changed the head and the item.
+"""Commits operators' changes to the table.
+
+The head row serializes all changes: a commit checks that the head is still at
+the version of the local state, so the expected version of an item is compared
+with its current one. Of two concurrent changes to an item, one is accepted and
+the other fails with the current version. Changes that arrive during a commit
+are batched into the next one.
+
+Lost responses: a commit also checks that its own log row does not exist yet.
+Log rows are never overwritten, so if a retry finds the row, its operation id
+identifies the batch that wrote this version, even after later changes to the
+head and the item.
 """
 
 from typing import Callable, Final
@@ -21,7 +21,7 @@
     ChangeBatch,
     ChangeCallback,
     ConfigurationChange,
-    WaitingChange,
+    PendingChange,
 )
 from hyssopring.configuration.follower import TableFollower
 from hyssopring.configuration.state import ConfigurationState
@@ -33,15 +33,15 @@
 
 __all__ = ('ConfigurationKeeper',)
 
-_MAX_BATCH: Final = 32
-_MAX_WAITING: Final = 1000
-# Each lost race means that another's change was accepted meanwhile.
-_MAX_RACES: Final = 40
+_MAX_BATCH_CHANGES: Final = 32
+_MAX_PENDING: Final = 1000
+# A conflict means that another process committed a change in between.
+_MAX_CONFLICTS: Final = 40
 _MAX_COMMITS: Final = 3
 
 
 class ConfigurationKeeper:
-    """Keeps one process's configuration in step; accepts changes to it."""
+    """Keeps the configuration of a process current and commits changes."""
 
     def __init__(
         self,
@@ -49,119 +49,126 @@
         store: Store,
         on_update: Callable[[ConfigurationUpdate], None],
     ) -> None:
-        """Follow the table; tell ``on_update`` of each step forward."""
+        """Initialize the keeper; ``on_update`` receives each update applied."""
         self._state = state
         self._store = store
         self._follower = TableFollower(state, store, on_update)
-        self._waiting: list[WaitingChange] = []
-        self._is_busy = False
+        self._pending: list[PendingChange] = []
+        self._is_committing = False
 
     def poll(self) -> None:
-        """Read the head; fetch what has changed since."""
+        """Fetch the changes since the version of the local state."""
         self._follower.poll()
 
     def adopt(self, update: ConfigurationUpdate) -> bool:
-        """Step forward by an update from a peer."""
+        """Apply an update from a peer; return whether it was newer."""
         return self._follower.adopt(update)
 
     def change(self, change: ConfigurationChange, done: ChangeCallback) -> None:
         """Validate and commit one change; ``done`` is called once."""
         failure = document_failure(change.key, change.document)
-        if failure is None and len(self._waiting) >= _MAX_WAITING:
-            failure = Failure(ErrorKind.OVERLOADED, 'too many changes wait')
+        if failure is None and len(self._pending) >= _MAX_PENDING:
+            failure = Failure(
+                ErrorKind.OVERLOADED, 'too many changes are pending'
+            )
         if failure is not None:
             done(Err(failure))
             return
-        self._waiting.append(WaitingChange(change, done))
-        self._next()
-
-    def _next(self) -> None:
-        if self._waiting and not self._is_busy:
-            self._is_busy = True
-            # What arrives after this read was asked for waits for the next.
-            ready = self._waiting
-            self._waiting = []
-            self._follower.catch_up(lambda head: self._caught_up(ready, head))
-
-    def _caught_up(
+        self._pending.append(PendingChange(change, done))
+        self._start_next()
+
+    def _start_next(self) -> None:
+        if self._pending and not self._is_committing:
+            self._is_committing = True
+            # Later changes are not covered by this read of the head.
+            ready = self._pending
+            self._pending = []
+            self._follower.catch_up(
+                lambda head: self._on_caught_up(ready, head)
+            )
+
+    def _on_caught_up(
         self,
-        ready: list[WaitingChange],
-        answer: Result[Row, Failure],
+        ready: list[PendingChange],
+        response: Result[Row, Failure],
     ) -> None:
-        if answer.is_err():
-            detail = answer.unwrap_err().detail
-            for waiting in ready:
-                waiting.fail(ErrorKind.STORE_UNAVAILABLE, detail)
-            self._end()
+        if response.is_err():
+            detail = response.unwrap_err().detail
+            for pending in ready:
+                pending.fail(ErrorKind.STORE_UNAVAILABLE, detail)
+            self._finish()
             return
-        head = answer.unwrap()
+        head = response.unwrap()
         if head.document['version'] != self._state.version:
-            # A peer has told of a newer version since the head was read.
-            self._again(ready)
+            # A newer version arrived from a peer since the head was read.
+            self._requeue(ready)
             return
-        chosen = self._choose(ready)
-        if not chosen:
-            self._end()
+        selected_by_key = self._select_batch(ready)
+        if not selected_by_key:
+            self._finish()
             return
-        batch = ChangeBatch.from_waiting(
+        batch = ChangeBatch.from_pending(
             head,
-            chosen,
+            selected_by_key,
             self._state.tombstones,
         )
         self._commit(batch)
 
-    def _choose(self, ready: list[WaitingChange]) -> list[WaitingChange]:
-        """Refuse what expects another version; one change per item."""
-        chosen: dict[str, WaitingChange] = {}
-        left: list[WaitingChange] = []
-        for waiting in ready:
-            change = waiting.change
-            found = self._state.item_version(change.key)
-            if found != change.expected_version:
-                waiting.refuse(found)
+    def _select_batch(self, ready: list[PendingChange]) -> list[PendingChange]:
+        """Reject outdated changes; select at most one change per item."""
+        selected_by_key: dict[str, PendingChange] = {}
+        deferred: list[PendingChange] = []
+        for pending in ready:
+            change = pending.change
+            current_version = self._state.item_version(change.key)
+            if current_version != change.expected_version:
+                pending.reject(current_version)
                 continue
-            is_next = change.key not in chosen and len(chosen) < _MAX_BATCH
-            if is_next:
-                chosen[change.key] = waiting
+            is_selected = (
+                change.key not in selected_by_key
+                and len(selected_by_key) < _MAX_BATCH_CHANGES
+            )
+            if is_selected:
+                selected_by_key[change.key] = pending
             else:
-                left.append(waiting)
-        self._waiting = left + self._waiting
-        return list(chosen.values())
+                deferred.append(pending)
+        self._pending = deferred + self._pending
+        return list(selected_by_key.values())
 
     def _commit(self, batch: ChangeBatch) -> None:
         batch.commits += 1
         self._store.commit(
             batch.transaction,
-            lambda answer: self._committed(batch, answer),
+            lambda response: self._on_commit_result(batch, response),
         )
 
-    def _committed(
+    def _on_commit_result(
         self,
         batch: ChangeBatch,
-        answer: Result[Committed | Conflict, Failure],
+        response: Result[Committed | Conflict, Failure],
     ) -> None:
-        if answer.is_err():
-            self._in_doubt(batch, answer.unwrap_err())
+        if response.is_err():
+            self._retry_unconfirmed(batch, response.unwrap_err())
             return
-        outcome = answer.unwrap()
-        if isinstance(outcome, Conflict) and not batch.is_in(outcome):
-            # Certain: this batch took no effect and never will, as the head
-            # has moved past the version that it was checked against.
-            self._again(batch.waiting)
+        outcome = response.unwrap()
+        if isinstance(outcome, Conflict) and not batch.wrote(outcome):
+            # The batch was not committed and cannot be later: the head has
+            # moved past the version that the transaction checks.
+            self._requeue(batch.pending)
             return
-        self._accept(batch)
+        self._complete(batch)
 
-    def _in_doubt(self, batch: ChangeBatch, failure: Failure) -> None:
-        """Commit the same transaction again: it takes effect once at most."""
+    def _retry_unconfirmed(self, batch: ChangeBatch, failure: Failure) -> None:
+        """Retry the same transaction, which is committed at most once."""
         if batch.commits < _MAX_COMMITS:
             self._commit(batch)
             return
         detail = f'{failure.detail}; read the item to see its version'
-        for waiting in batch.waiting:
-            waiting.fail(ErrorKind.OUTCOME_UNKNOWN, detail)
-        self._end()
+        for pending in batch.pending:
+            pending.fail(ErrorKind.OUTCOME_UNKNOWN, detail)
+        self._finish()
 
-    def _accept(self, batch: ChangeBatch) -> None:
+    def _complete(self, batch: ChangeBatch) -> None:
         update = ConfigurationUpdate(
             batch.version - 1,
             batch.version,
@@ -169,27 +176,30 @@
         )
         if not self._follower.adopt(update):
             self._follower.poll()
-        for waiting in batch.waiting:
+        for pending in batch.pending:
             log_event(
                 Event.CONFIGURATION_ACCEPTED,
-                key=waiting.change.key,
+                key=pending.change.key,
                 version=batch.version,
             )
-            waiting.done(Ok(AcceptedChange(batch.version)))
-        self._end()
-
-    def _again(self, losers: list[WaitingChange]) -> None:
-        """Put changes that lost a race to the front, a few times over."""
-        kept: list[WaitingChange] = []
-        for waiting in losers:
-            waiting.races += 1
-            if waiting.races > _MAX_RACES:
-                waiting.fail(ErrorKind.OVERLOADED, 'lost too many races')
+            pending.done(Ok(AcceptedChange(batch.version)))
+        self._finish()
+
+    def _requeue(self, pending_changes: list[PendingChange]) -> None:
+        """Put changes after a conflict at the front, up to a retry limit."""
+        requeued: list[PendingChange] = []
+        for pending in pending_changes:
+            pending.conflicts += 1
+            if pending.conflicts > _MAX_CONFLICTS:
+                pending.fail(
+                    ErrorKind.OVERLOADED,
+                    'too many conflicts with other changes',
+                )
             else:
-                kept.append(waiting)
-        self._waiting = kept + self._waiting
-        self._end()
+                requeued.append(pending)
+        self._pending = requeued + self._pending
+        self._finish()
 
-    def _end(self) -> None:
-        self._is_busy = False
-        self._next()
+    def _finish(self) -> None:
+        self._is_committing = False
+        self._start_next()
--- a/hyssopring/configuration/follower.py
+++ b/hyssopring/configuration/follower.py
@@ -1,16 +1,16 @@
-"""Keeps one process's configuration in step with the table and with peers."""
+"""Follows the configuration in the table and in updates from peers."""
 
 from typing import Callable, Final, Sequence
 
 from result import Err, Ok, Result
 
 from hyssopring.configuration.rows import (
-    HEAD,
-    ITEMS,
-    LOG_PAGE,
-    log_page,
+    HEAD_KEY,
+    ITEM_PREFIX,
+    LOG_PAGE_ROWS,
+    log_page_prefix,
     snapshot_of,
-    step_forward,
+    log_update,
 )
 from hyssopring.configuration.state import ConfigurationState
 from hyssopring.errors import Failure
@@ -20,18 +20,19 @@
 
 __all__ = ('TableFollower',)
 
-# Further behind than this, reading all items is cheaper than the log.
-_MAX_LOG_LAG: Final = 5 * LOG_PAGE
-_NO_HEAD: Final = Row(HEAD, 0, '', {'version': 0})
+# With a larger lag, reading all items is cheaper than reading the log.
+_MAX_LOG_LAG: Final = 5 * LOG_PAGE_ROWS
+_NO_HEAD: Final = Row(HEAD_KEY, 0, '', {'version': 0})
 
 HeadCallback = Callable[[Result[Row, Failure]], None]
 
 
 class TableFollower:
-    """Follows the head row: one small read when nothing has changed.
+    """Polls the head row and fetches changes.
 
-    When the head has moved, only the log rows in between are read; the whole
-    state only by a fresh process or one that is far behind.
+    A poll without changes is one small read. Otherwise only the log rows in
+    between are read; the complete state is read only by a new process or with
+    a large lag.
     """
 
     def __init__(
@@ -40,15 +41,15 @@
         store: Store,
         on_update: Callable[[ConfigurationUpdate], None],
     ) -> None:
-        """Tell ``on_update`` of each step forward."""
+        """Initialize the follower; ``on_update`` receives applied updates."""
         self._state = state
         self._store = store
         self._on_update = on_update
         self._is_reading = False
-        self._waiting: list[HeadCallback] = []
+        self._pending_callbacks: list[HeadCallback] = []
 
     def poll(self) -> None:
-        """Read the head, and what has changed since."""
+        """Fetch the changes since the version of the local state."""
         if not self._is_reading:
             self._read_head()
 
@@ -57,12 +58,16 @@
 
         The state is then at the head's version or newer.
         """
-        self._waiting.append(done)
+        self._pending_callbacks.append(done)
         if not self._is_reading:
             self._read_head()
 
     def adopt(self, update: ConfigurationUpdate) -> bool:
-        """Step forward by an update from the table or from a peer."""
+        """Apply an update from the table or a peer.
+
+        Returns:
+            Whether the update was newer and has been applied.
+        """
         before = self._state.version
         if not self._state.apply(update):
             return False
@@ -77,82 +82,84 @@
 
     def _read_head(self) -> None:
         self._is_reading = True
-        # Only those who asked before this read may rely on what it finds.
-        waiting = self._waiting
-        self._waiting = []
-        self._store.read(HEAD, lambda answer: self._head_read(waiting, answer))
+        # Callers that arrive during this read need a later one.
+        callbacks = self._pending_callbacks
+        self._pending_callbacks = []
+        self._store.read(
+            HEAD_KEY, lambda response: self._on_head_read(callbacks, response)
+        )
 
-    def _head_read(
+    def _on_head_read(
         self,
-        waiting: list[HeadCallback],
-        answer: Result[Sequence[Row], Failure],
+        callbacks: list[HeadCallback],
+        response: Result[Sequence[Row], Failure],
     ) -> None:
-        if answer.is_err():
-            self._finish(waiting, Err(answer.unwrap_err()))
+        if response.is_err():
+            self._finish(callbacks, Err(response.unwrap_err()))
             return
-        head = next(iter(answer.unwrap()), _NO_HEAD)
-        self._advance(waiting, head)
+        head = next(iter(response.unwrap()), _NO_HEAD)
+        self._advance(callbacks, head)
 
-    def _advance(self, waiting: list[HeadCallback], head: Row) -> None:
+    def _advance(self, callbacks: list[HeadCallback], head: Row) -> None:
         lag = head.document['version'] - self._state.version
         if lag <= 0:
             self._state.confirm()
-            self._finish(waiting, Ok(head))
+            self._finish(callbacks, Ok(head))
         elif self._state.version == 0 or lag > _MAX_LOG_LAG:
-            self._read_items(waiting, head)
+            self._read_items(callbacks, head)
         else:
-            self._read_log(waiting, head)
+            self._read_log(callbacks, head)
 
-    def _read_log(self, waiting: list[HeadCallback], head: Row) -> None:
+    def _read_log(self, callbacks: list[HeadCallback], head: Row) -> None:
         base = self._state.version
         self._store.read(
-            log_page(base + 1),
-            lambda answer: self._log_read(waiting, head, base, answer),
+            log_page_prefix(base + 1),
+            lambda response: self._on_log_read(callbacks, head, base, response),
         )
 
-    def _log_read(
+    def _on_log_read(
         self,
-        waiting: list[HeadCallback],
+        callbacks: list[HeadCallback],
         head: Row,
         base: int,
-        answer: Result[Sequence[Row], Failure],
+        response: Result[Sequence[Row], Failure],
     ) -> None:
-        if answer.is_err():
-            self._finish(waiting, Err(answer.unwrap_err()))
+        if response.is_err():
+            self._finish(callbacks, Err(response.unwrap_err()))
             return
-        update = step_forward(base, answer.unwrap())
+        update = log_update(base, response.unwrap())
         if update is None:
-            # The log no longer reaches back to this version.
-            self._read_items(waiting, head)
+            # The log row after this version has been removed.
+            self._read_items(callbacks, head)
             return
         self.adopt(update)
-        self._advance(waiting, head)
+        self._advance(callbacks, head)
 
-    def _read_items(self, waiting: list[HeadCallback], head: Row) -> None:
+    def _read_items(self, callbacks: list[HeadCallback], head: Row) -> None:
         self._store.read(
-            ITEMS,
-            lambda answer: self._items_read(waiting, head, answer),
+            ITEM_PREFIX,
+            lambda response: self._on_items_read(callbacks, head, response),
         )
 
-    def _items_read(
+    def _on_items_read(
         self,
-        waiting: list[HeadCallback],
+        callbacks: list[HeadCallback],
         head: Row,
-        answer: Result[Sequence[Row], Failure],
+        response: Result[Sequence[Row], Failure],
     ) -> None:
-        if answer.is_err():
-            self._finish(waiting, Err(answer.unwrap_err()))
+        if response.is_err():
+            self._finish(callbacks, Err(response.unwrap_err()))
             return
-        self.adopt(snapshot_of(answer.unwrap()))
-        self._finish(waiting, Ok(head))
+        self.adopt(snapshot_of(response.unwrap()))
+        self._finish(callbacks, Ok(head))
 
     def _finish(
         self,
-        waiting: list[HeadCallback],
-        answer: Result[Row, Failure],
+        callbacks: list[HeadCallback],
+        response: Result[Row, Failure],
     ) -> None:
         self._is_reading = False
-        for done in waiting:
-            done(answer)
-        if self._waiting and not self._is_reading:
+        for done in callbacks:
+            done(response)
+        if self._pending_callbacks and not self._is_reading:
             self._read_head()
--- a/hyssopring/configuration/models.py
+++ b/hyssopring/configuration/models.py
@@ -1,4 +1,4 @@
-"""Validated documents that operators submit."""
+"""Models of the documents that operators submit."""
 
 from types import MappingProxyType
 from typing import Annotated, Final, Literal, Mapping
@@ -28,11 +28,11 @@
 _Name = Annotated[str, Field(pattern=_NAME)]
 
 
-class _Strict(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra='forbid', strict=True, frozen=True)
 
 
-class SizeModel(_Strict):
+class SizeModel(_StrictModel):
     """What one task or one backend server needs."""
 
     cores: Annotated[float, Field(gt=0, le=_MAX_CORES)]
@@ -40,7 +40,7 @@
     accelerators: Annotated[int, Field(ge=0, le=_MAX_ACCELERATORS)] = 0
 
 
-class TemplateModel(_Strict):
+class TemplateModel(_StrictModel):
     """A shared template; teams fill in their own parameters."""
 
     kind: Literal['service', 'batch', 'keeper']
@@ -53,8 +53,8 @@
     max_attempts: Annotated[int, Field(ge=1, le=100)] = 5
 
 
-class ParametersModel(_Strict):
-    """A team's own parameters for a template; None keeps the template's."""
+class ParametersModel(_StrictModel):
+    """A team's parameters for a template; None uses that of the template."""
 
     size: SizeModel | None = None
     urgency: _Urgency | None = None
@@ -64,22 +64,22 @@
     keepers: Annotated[int, Field(ge=0, le=_MAX_TASKS)] = 0
 
 
-class TeamModel(_Strict):
+class TeamModel(_StrictModel):
     """A team's quotas."""
 
     cores: Annotated[float, Field(gt=0)] = _MAX_CORES
     requests_per_s: Annotated[float, Field(gt=0)] = 10_000
 
 
-class DrainModel(_Strict):
-    """A VM that takes nothing new; its batch tasks move elsewhere."""
+class DrainModel(_StrictModel):
+    """A drained VM: no new tasks start and its batch tasks are moved."""
 
     why: Annotated[str, Field(max_length=200)] = ''
     keepers: bool = False
 
 
-class JobSubmission(_Strict):
-    """A batch job: so many tasks of a team's template."""
+class JobSubmission(_StrictModel):
+    """A batch job: a number of tasks of a team's template."""
 
     job_id: _Name
     team: _Name
--- a/hyssopring/configuration/rows.py
+++ b/hyssopring/configuration/rows.py
@@ -1,9 +1,9 @@
-"""The configuration's rows in the table service.
+"""Rows of the configuration in the table service.
 
 ``configuration/head`` holds the newest version. ``configuration/log/<V>``
-holds what version V changed, zero-padded so that keys sort by version; the
-newest ``LOG_LENGTH`` are kept. ``configuration/item/<key>`` holds the newest
-document of each item, for a fresh start. A commit writes all three.
+holds the changes of version V, zero-padded so that keys sort by version; the
+newest ``MAX_LOG_ROWS`` rows are kept. ``configuration/item/<key>`` holds the
+newest document of each item, for new processes. A commit writes all three.
 """
 
 from typing import Any, Final, Mapping, Sequence
@@ -12,67 +12,70 @@
 from hyssopring.store import Row
 
 __all__ = (
-    'HEAD',
-    'ITEMS',
-    'LOG_LENGTH',
-    'LOG_PAGE',
+    'HEAD_KEY',
+    'ITEM_PREFIX',
+    'LOG_PAGE_ROWS',
+    'MAX_LOG_ROWS',
     'item_of',
     'log_document',
     'log_key',
-    'log_page',
+    'log_page_prefix',
+    'log_update',
     'snapshot_of',
-    'step_forward',
 )
 
-HEAD: Final = 'configuration/head'
-ITEMS: Final = 'configuration/item/'
-LOG_LENGTH: Final = 1000
-# Log rows read at once: those whose keys differ in the last digit only.
-LOG_PAGE: Final = 10
-_LOG = 'configuration/log/'
-_WIDTH = 12
+HEAD_KEY: Final = 'configuration/head'
+ITEM_PREFIX: Final = 'configuration/item/'
+MAX_LOG_ROWS: Final = 1000
+# Rows in one read of the log: their keys differ only in the last digit.
+LOG_PAGE_ROWS: Final = 10
+_LOG_PREFIX = 'configuration/log/'
+_VERSION_DIGITS = 12
 
 
 def log_key(version: int) -> str:
-    """Return the key of a version's log row."""
-    return f'{_LOG}{version:0{_WIDTH}}'
+    """Return the key of the log row of a version."""
+    return f'{_LOG_PREFIX}{version:0{_VERSION_DIGITS}}'
 
 
-def log_page(version: int) -> str:
-    """Return the prefix of the log rows around a version."""
+def log_page_prefix(version: int) -> str:
+    """Return the prefix of the page of log rows with a version."""
     return log_key(version)[:-1]
 
 
 def log_document(items: Sequence[ConfigurationItem]) -> Mapping[str, Any]:
-    """Return the log row of one version's changes."""
+    """Return the document of the log row for changed items."""
     return {'items': [[item.key, item.document] for item in items]}
 
 
 def item_of(row: Row) -> ConfigurationItem:
-    """Return the item in an item row."""
+    """Return the item of an item row."""
     return ConfigurationItem(
-        row.key.removeprefix(ITEMS),
+        row.key.removeprefix(ITEM_PREFIX),
         row.document['version'],
         row.document['document'],
     )
 
 
 def snapshot_of(rows: Sequence[Row]) -> ConfigurationUpdate:
-    """Return the whole state from all item rows, read at one moment.
+    """Return the complete state from a consistent read of all item rows.
 
-    The newest item's version is the state's: the item that a version changed
-    stays until a later version changes it, and tombstones stay far longer
-    than the newest version.
+    Its version is that of the newest item: the item row of a version remains
+    until a later version changes the item, and tombstones remain much longer
+    than they are the newest.
     """
     items = tuple(item_of(row) for row in rows)
-    newest = max((item.version for item in items), default=0)
-    return ConfigurationUpdate(0, newest, items)
+    newest_version = max((item.version for item in items), default=0)
+    return ConfigurationUpdate(0, newest_version, items)
 
 
-def step_forward(base: int, rows: Sequence[Row]) -> ConfigurationUpdate | None:
-    """Return the changes after ``base`` without a gap, None if there are none.
+def log_update(base: int, rows: Sequence[Row]) -> ConfigurationUpdate | None:
+    """Return the update from ``base`` over consecutive log rows.
 
-    A later change of the same item replaces an earlier one.
+    Of several changes to one item the latest is kept.
+
+    Returns:
+        The update, None if the log row after ``base`` is missing.
     """
     row_by_key = {row.key: row for row in rows}
     item_by_key: dict[str, ConfigurationItem] = {}
--- a/hyssopring/configuration/state.py
+++ b/hyssopring/configuration/state.py
@@ -1,13 +1,13 @@
-"""The configuration in force in one process.
+"""The configuration state of one process.
 
-Versions only grow: an update that would step back, or that skips changes in
-between, is refused, so a process can be behind but never revert. The state
-at a version is the same in every process, wherever it was learned.
+Versions only increase: an update that is older, or that skips changes, is
+rejected, so a process can lag behind but never revert. The state at a version
+is the same in every process, regardless of its source.
 
-A withdrawn item stays as a tombstone (an empty document), so that a peer
-that is behind hears of the withdrawal. Old tombstones are dropped and the
-``floor`` rises to the newest of them: a peer below the floor is given the
-whole state, which replaces what it has.
+A withdrawn item is kept as a tombstone (an empty document), so that a peer
+that lags behind receives the withdrawal. Old tombstones are dropped; a peer at
+a version before the newest dropped one receives the complete state, which
+replaces its own.
 """
 
 from dataclasses import dataclass
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """A template with one team's parameters filled in.
+    """A template merged with the parameters of one team.
 
     Attributes:
         service_name: ``team/template``.
-        size: What one task or one backend server needs.
-        keepers: How many keepers are to be up.
+        size: Resources of one task or one backend server.
+        keepers: Desired number of running keepers.
     """
 
     service_name: str
@@ -74,7 +74,7 @@
 
 
 def drain_key(agent_id: str) -> str:
-    """Return the configuration key that drains an agent's VM."""
+    """Return the configuration key of the drain of an agent's VM."""
     return f'drain/{agent_id}'
 
 
@@ -84,13 +84,13 @@
 
 
 class ConfigurationState:
-    """All templates, parameters and quotas at one version."""
+    """All configuration items at one version."""
 
     def __init__(self) -> None:
-        """Start empty at version 0."""
+        """Initialize an empty state at version 0."""
         self._version = 0
-        self._floor = 0
-        self._is_known = False
+        self._min_delta_base = 0
+        self._is_initialized = False
         self._item_by_key: dict[str, ConfigurationItem] = {}
         self._policy_by_service: dict[str, ServicePolicy | None] = {}
         self._policies: tuple[ServicePolicy, ...] | None = None
@@ -98,54 +98,54 @@
 
     @property
     def version(self) -> int:
-        """The version in force."""
+        """The current version."""
         return self._version
 
     @property
     def is_known(self) -> bool:
-        """Whether this process has a configuration to work by.
+        """Whether the state was received from the table or a peer.
 
-        A fresh process knows nothing until the table has answered or a peer
-        has told it; that there are no items at all counts only when the
-        table says so. Until then "no such service" would be a guess.
+        A new process starts without a configuration; that it is empty is
+        known only after a response of the table. Before that, a missing
+        service must not be reported as unknown.
         """
-        return self._is_known
+        return self._is_initialized
 
     @property
     def items(self) -> tuple[ConfigurationItem, ...]:
-        """All items, in key order; withdrawn ones have empty documents."""
+        """All items in key order, with tombstones."""
         return tuple(
             self._item_by_key[key] for key in sorted(self._item_by_key)
         )
 
     @property
     def tombstones(self) -> tuple[ConfigurationItem, ...]:
-        """Withdrawn items, the oldest first."""
+        """Withdrawn items, oldest first."""
         withdrawn = [
             item for item in self._item_by_key.values() if not item.document
         ]
         return tuple(sorted(withdrawn, key=lambda item: item.version))
 
     def item(self, key: str) -> ConfigurationItem | None:
-        """Return an item that is in force."""
+        """Return an item, None if it is missing or withdrawn."""
         found = self._item_by_key.get(key)
         return found if found is not None and found.document else None
 
     def item_version(self, key: str) -> int:
-        """Return the version of an item in force, 0 if there is none."""
+        """Return the version of an item, 0 if missing or withdrawn."""
         found = self.item(key)
         return 0 if found is None else found.version
 
     def apply(self, update: ConfigurationUpdate) -> bool:
-        """Step forward to the update's version.
+        """Apply an update.
 
-        An update with base 0 is the whole state and replaces this one. Any
-        other one must start at or before the version in force, or it would
-        skip a change; items that are not newer than known ones are ignored.
+        An update with base 0 is the complete state and replaces this one. The
+        base of any other update must not exceed the current version, or
+        changes would be skipped. Items that are not newer than the local ones
+        are ignored.
 
         Returns:
-            Whether it took effect; False when it is not newer, or when it
-            starts after a version that this process has not seen.
+            Whether the update was applied: it is newer and skips no change.
         """
         is_newer = update.version > self._version
         if not is_newer or update.base_version > self._version:
@@ -153,34 +153,34 @@
         if update.base_version == 0:
             self._item_by_key.clear()
             self._policy_by_service.clear()
-            self._floor = update.version
+            self._min_delta_base = update.version
         self._keep_newest(update.items)
         self._version = update.version
-        self._is_known = True
+        self._is_initialized = True
         self._compact()
         self._invalidate(update.items)
         return True
 
     def confirm(self) -> None:
-        """The table says that there is nothing newer than this state."""
-        self._is_known = True
+        """Record that the table holds no newer version."""
+        self._is_initialized = True
 
     def update_since(self, version: int) -> ConfigurationUpdate:
-        """Return what a peer at ``version`` lacks."""
-        if version < self._floor:
+        """Return the update for a peer at ``version``."""
+        if version < self._min_delta_base:
             return ConfigurationUpdate(0, self._version, self.items)
         items = tuple(item for item in self.items if item.version > version)
         return ConfigurationUpdate(version, self._version, items)
 
     def policy(self, service_name: str) -> ServicePolicy | None:
-        """Return a service's policy, or None if it is not configured."""
+        """Return the policy of a service, None if it is not configured."""
         if service_name not in self._policy_by_service:
             resolved = self._resolve(service_name)
             self._policy_by_service[service_name] = resolved
         return self._policy_by_service[service_name]
 
     def policies(self) -> tuple[ServicePolicy, ...]:
-        """Return the policy of each team's parameter set, in key order."""
+        """Return the policies of all services, in key order."""
         if self._policies is None:
             services = (
                 key.partition('/')[2]
@@ -194,7 +194,7 @@
         return self._policies
 
     def team(self, team: str) -> TeamModel:
-        """Return a team's quotas, or the defaults."""
+        """Return the quotas of a team, or the defaults."""
         if team not in self._team_by_name:
             item = self.item(team_key(team))
             self._team_by_name[team] = (
@@ -205,76 +205,78 @@
         return self._team_by_name[team]
 
     def _invalidate(self, items: tuple[ConfigurationItem, ...]) -> None:
-        """Forget what was worked out from the items that changed."""
+        """Remove cached values that depend on the changed items."""
         self._policies = None
         self._team_by_name.clear()
-        changed = {item.key for item in items}
+        changed_keys = {item.key for item in items}
         for service_name in list(self._policy_by_service):
             team, _, name = service_name.partition('/')
-            own = {template_key(name), parameters_key(team, name)}
-            if own & changed:
+            item_keys = {template_key(name), parameters_key(team, name)}
+            if item_keys & changed_keys:
                 self._policy_by_service.pop(service_name)
 
     def _compact(self) -> None:
-        """Drop the oldest tombstones; peers behind them get the whole state.
+        """Drop the oldest tombstones.
 
-        Without the floor a peer that had missed the withdrawal would be sent
-        a delta that no longer names it, and would keep the item for good.
+        A peer that lags behind them must get the complete state: a delta no
+        longer holds the withdrawal, and the peer would keep the item forever.
         """
-        surplus = self.tombstones[:-_MAX_TOMBSTONES]
-        for item in surplus:
+        expired_tombstones = self.tombstones[:-_MAX_TOMBSTONES]
+        for item in expired_tombstones:
             self._item_by_key.pop(item.key)
-            self._floor = max(self._floor, item.version)
+            self._min_delta_base = max(self._min_delta_base, item.version)
 
     def drain(self, agent_id: str) -> DrainModel | None:
-        """Return how an agent's VM is drained, None if it is not."""
+        """Return the drain of an agent's VM, None if it is not drained."""
         item = self.item(drain_key(agent_id))
         if item is None:
             return None
         return DrainModel.model_validate_json(item.document)
 
     def is_drained(self, agent_id: str) -> bool:
-        """Whether an operator has drained this agent's VM."""
+        """Return whether an operator has drained the VM of an agent."""
         return self.item(drain_key(agent_id)) is not None
 
     def _keep_newest(self, items: tuple[ConfigurationItem, ...]) -> None:
         for item in items:
-            known = self._item_by_key.get(item.key)
-            if known is None or item.version > known.version:
+            current = self._item_by_key.get(item.key)
+            if current is None or item.version > current.version:
                 self._item_by_key[item.key] = item
 
     def _resolve(self, service_name: str) -> ServicePolicy | None:
         team, _, name = service_name.partition('/')
         template_item = self.item(template_key(name))
-        own_item = self.item(parameters_key(team, name))
-        if template_item is None or own_item is None:
+        parameters_item = self.item(parameters_key(team, name))
+        if template_item is None or parameters_item is None:
             return None
         try:
             template = TemplateModel.model_validate_json(template_item.document)
-            own = ParametersModel.model_validate_json(own_item.document)
+            own_parameters = ParametersModel.model_validate_json(
+                parameters_item.document
+            )
         except ValidationError:
             return None
-        return _merged(service_name, template, own)
+        return _merge_policy(service_name, template, own_parameters)
 
 
-def _merged(
+def _merge_policy(
     service_name: str,
     template: TemplateModel,
-    own: ParametersModel,
+    own_parameters: ParametersModel,
 ) -> ServicePolicy:
-    chosen = template.model_dump()
-    chosen.update(own.model_dump(exclude_none=True))
-    size = SizeModel.model_validate(chosen['size'])
+    merged_fields = template.model_dump()
+    merged_fields.update(own_parameters.model_dump(exclude_none=True))
+    size = SizeModel.model_validate(merged_fields['size'])
     return ServicePolicy(
         service_name=service_name,
         team=service_name.partition('/')[0],
         kind=template.kind,
         idempotent=template.idempotent,
-        urgency=chosen['urgency'],
-        deadline_ms=chosen['deadline_ms'],
-        run_ms=chosen['run_ms'],
-        zones=tuple(chosen['zones']),
+        urgency=merged_fields['urgency'],
+        deadline_ms=merged_fields['deadline_ms'],
+        run_ms=merged_fields['run_ms'],
+        zones=tuple(merged_fields['zones']),
         size=Resources(size.cores, size.memory_gb, size.accelerators),
         max_attempts=template.max_attempts,
-        keepers=own.keepers,
+        keepers=own_parameters.keepers,
     )
--- a/hyssopring/configuration/validation.py
+++ b/hyssopring/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks the documents that operators submit."""
+"""Validates the keys and documents that operators submit."""
 
 import re
 from typing import Final, TypeVar
@@ -12,21 +12,24 @@
 
 __all__ = ('document_failure', 'parse_document')
 
-# Agents' ids, which drain/<agent> names, are wider than other names.
 _Model = TypeVar('_Model', bound=BaseModel)
+# Covers agent ids (drain/<agent>), which allow more than other names.
 _NAME: Final = re.compile('[A-Za-z0-9][A-Za-z0-9._-]{0,62}')
 
 
 def document_failure(key: str, document: str) -> Failure | None:
-    """Say what is wrong with an item's key or document."""
-    kind, _, rest = key.partition('/')
+    """Return the failure for an invalid key or document, or None."""
+    kind, _, name_path = key.partition('/')
     model = MODEL_BY_KIND.get(kind)
-    names = rest.split('/')
-    depth = 2 if kind == 'parameters' else 1
-    if model is None or len(names) != depth:
-        return Failure(ErrorKind.INVALID, f'no such kind of item: {key}')
+    names = name_path.split('/')
+    name_count = 2 if kind == 'parameters' else 1
+    if model is None or len(names) != name_count:
+        return Failure(
+            ErrorKind.INVALID,
+            f'unknown kind of item or wrong number of names: {key}',
+        )
     if not all(_NAME.fullmatch(name) for name in names):
-        return Failure(ErrorKind.INVALID, f'not a name: {key}')
+        return Failure(ErrorKind.INVALID, f'invalid name in key: {key}')
     if not document:
         return None
     return parse_document(document, model).err()
@@ -36,7 +39,11 @@
     text: str | bytes,
     model: type[_Model],
 ) -> Result[_Model, Failure]:
-    """Read JSON into a model; a failure names each wrong key in one line."""
+    """Parse JSON into a model.
+
+    Returns:
+        The document, or a failure with the invalid keys in one line.
+    """
     try:
         return Ok(model.model_validate_json(text))
     except ValidationError as error:
--- a/hyssopring/store/__init__.py
+++ b/hyssopring/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's table service: values, port and client."""
+"""Access to the platform's table service: data types, protocol and client."""
 
 from hyssopring.store.rows import (
     Check,
--- a/hyssopring/store/client.py
+++ b/hyssopring/store/client.py
@@ -1,4 +1,4 @@
-"""The table service over HTTP (Twisted shell of the queue)."""
+"""HTTP transport of the store queue, on Twisted."""
 
 import json
 import random
@@ -10,7 +10,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.store.groups import Group
-from hyssopring.store.queue import StoreQueue, StoreTimes
+from hyssopring.store.queue import StoreLimits, StoreQueue
 from hyssopring.store.rows import (
     Committed,
     Conflict,
@@ -21,20 +21,20 @@
 
 __all__ = ('HttpTransport', 'store_queue')
 
-_OK = 200
-_CONFLICT = 409
+_HTTP_OK = 200
+_HTTP_CONFLICT = 409
 _MAX_CONNECTIONS = 8
-_IDLE_S = 240
+_IDLE_TIMEOUT_S = 240
 
 
 class HttpTransport:
-    """Sends the queue's calls to the table service."""
+    """Transport that sends the queue's calls to the table service over HTTP."""
 
     def __init__(self, reactor: Any, url: str) -> None:
-        """Connect lazily to the table service at ``url``."""
+        """Initialize the transport; connections open on the first call."""
         self._reactor = reactor
         self._url = url.rstrip('/')
-        self._agent = pooled_agent(reactor, _MAX_CONNECTIONS, _IDLE_S)
+        self._agent = pooled_agent(reactor, _MAX_CONNECTIONS, _IDLE_TIMEOUT_S)
 
     def send_commit(
         self,
@@ -42,7 +42,7 @@
         timeout_ms: float,
         done: Callable[[Result[Committed | Conflict, Failure]], None],
     ) -> None:
-        """Send one transaction; each row carries its own operation id."""
+        """Send a group as one transaction; each row has its operation id."""
         document = {
             'checks': [[check.key, check.version] for check in group.checks],
             'puts': [
@@ -55,7 +55,7 @@
             '/transactions',
             json.dumps(document).encode(),
             timeout_ms,
-            lambda answer: done(answer.map(_outcome)),
+            lambda response: done(response.map(_parse_outcome)),
         )
 
     def send_read(
@@ -64,17 +64,17 @@
         timeout_ms: float,
         done: ReadCallback,
     ) -> None:
-        """Send one read."""
+        """Send a read of all rows under a prefix."""
         self._call(
             'GET',
             f'/rows?prefix={prefix}',
             b'',
             timeout_ms,
-            lambda answer: done(answer.map(_rows_of)),
+            lambda response: done(response.map(_parse_rows)),
         )
 
     def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Call ``action`` after a while."""
+        """Call ``action`` after ``delay_ms``."""
         self._reactor.callLater(delay_ms / MILLIS_PER_SECOND, action)
 
     def _call(
@@ -83,7 +83,7 @@
         path: str,
         body: bytes,
         timeout_ms: float,
-        finish: Callable[[Result[Any, Failure]], None],
+        on_result: Callable[[Result[Any, Failure]], None],
     ) -> None:
         deferred = fetch(
             self._reactor,
@@ -92,11 +92,11 @@
             self._url + path,
             body,
             timeout_ms,
-            # All rows of a prefix may need longer on a narrow link.
+            # Reading many rows over a slow link may exceed the timeout in all.
             silence_ms=timeout_ms,
         )
-        deferred.addCallbacks(_parsed, _failed)
-        deferred.addCallback(finish)
+        deferred.addCallbacks(_parse_response, _transport_failure)
+        deferred.addCallback(on_result)
 
 
 def store_queue(
@@ -105,36 +105,36 @@
     url: str,
     timeout_ms: float,
 ) -> StoreQueue:
-    """Return the store of a running entry."""
+    """Return a store queue that sends over HTTP to ``url``."""
     return StoreQueue(
         clock,
         HttpTransport(reactor, url),
         random.Random(uuid.uuid4().int),
-        StoreTimes(timeout_ms=timeout_ms),
+        StoreLimits(timeout_ms=timeout_ms),
     )
 
 
-def _parsed(answer: FetchedAnswer) -> Result[Any, Failure]:
-    if answer.status not in {_OK, _CONFLICT}:
-        detail = f'the table answered with status {answer.status}'
+def _parse_response(response: FetchedAnswer) -> Result[Any, Failure]:
+    if response.status not in {_HTTP_OK, _HTTP_CONFLICT}:
+        detail = f'the table service responded with status {response.status}'
         return Err(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
     try:
-        return Ok(json.loads(answer.body))
+        return Ok(json.loads(response.body))
     except ValueError as error:
         return Err(Failure(ErrorKind.STORE_UNAVAILABLE, str(error)))
 
 
-def _failed(reason: Any) -> Result[Any, Failure]:
+def _transport_failure(reason: Any) -> Result[Any, Failure]:
     detail = str(getattr(reason, 'value', reason))
     return Err(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
 
 
-def _rows_of(body: Any) -> list[Row]:
+def _parse_rows(body: Any) -> list[Row]:
     return [Row(*fields) for fields in body['rows']]
 
 
-def _outcome(body: Any) -> Committed | Conflict:
+def _parse_outcome(body: Any) -> Committed | Conflict:
     versions = body.get('versions')
     if versions is not None:
         return Committed(versions)
-    return Conflict(tuple(_rows_of(body)))
+    return Conflict(tuple(_parse_rows(body)))
--- a/hyssopring/store/groups.py
+++ b/hyssopring/store/groups.py
@@ -1,8 +1,8 @@
-"""Merges several callers' transactions into one, and divides its answer.
+"""Groups of transactions that are committed as one.
 
-A table commits so many transactions a second, whatever their size. Merged
-ones still stand or fall alone: each row carries the operation id of its own
-transaction, and only those whose checks failed are told of a conflict.
+The table limits transactions per second regardless of their size. The outcome
+of each member stays separate: each row carries the operation id of its own
+transaction, and only members whose checks failed receive a conflict.
 """
 
 from dataclasses import dataclass, field
@@ -18,132 +18,167 @@
     Transaction,
 )
 
-__all__ = ('Group', 'GroupOutcome', 'Pending')
+__all__ = ('Group', 'GroupOutcome', 'PendingCommit')
 
 _MAX_PUTS = 256
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
-    """A transaction that waits for its answer."""
+class PendingCommit:
+    """A transaction without an outcome yet.
+
+    Attributes:
+        done: Called once with the outcome.
+        deadline: Time in ms at which the caller stops waiting.
+    """
 
     transaction: Transaction
     done: CommitCallback
-    give_up_at: float
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
 class GroupOutcome:
-    """What an answer means for the members of a group.
+    """The outcomes of a group's members.
 
     Attributes:
-        outcome_by_operation: Of those that are decided.
-        again: Members that a conflict of others kept from being committed.
+        outcome_by_operation: Outcomes by operation id of the members that
+            are committed or in conflict.
+        retries: Members that were not committed only because of a conflict of
+            another member.
     """
 
     outcome_by_operation: dict[str, Committed | Conflict]
-    again: list[Pending]
+    retries: list[PendingCommit]
 
 
 @dataclass(slots=True)
 class Group:
-    """Transactions on separate rows, committed together."""
+    """Transactions on disjoint rows that are committed together.
+
+    Attributes:
+        max_members: Largest number of members.
+        members: The transactions, in the order of ``add``.
+        attempts: How often the group has been sent.
+    """
 
     max_members: int = 64
-    members: list[Pending] = field(default_factory=list)
+    members: list[PendingCommit] = field(default_factory=list)
     attempts: int = 0
-    _checked: dict[str, int] = field(default_factory=dict)
-    _written: set[str] = field(default_factory=set)
+    _version_by_checked_key: dict[str, int] = field(default_factory=dict)
+    _written_keys: set[str] = field(default_factory=set)
 
     @property
     def checks(self) -> tuple[Check, ...]:
-        """All checks, each row once."""
+        """The checks of all members, one for each row."""
         return tuple(
-            Check(key, version) for key, version in self._checked.items()
+            Check(key, version)
+            for key, version in self._version_by_checked_key.items()
         )
 
     @property
     def puts(self) -> Iterable[tuple[Put, str]]:
-        """All writes, each with the id of its own transaction."""
+        """The writes of all members, each with its operation id."""
         for member in self.members:
             for put in member.transaction.puts:
                 yield put, member.transaction.operation
 
     @property
-    def give_up_at(self) -> float:
-        """When the most patient member gives up."""
-        return max(member.give_up_at for member in self.members)
+    def deadline(self) -> float:
+        """The latest deadline of the members, in ms."""
+        return max(member.deadline for member in self.members)
 
-    def add(self, pending: Pending) -> bool:
-        """Take a transaction in; False if it touches what another writes."""
+    def add(self, pending: PendingCommit) -> bool:
+        """Add a transaction unless the group is full or it conflicts.
+
+        It conflicts if it writes a row that a member checks or writes, or
+        checks a row that a member writes or checks at another version.
+
+        Returns:
+            Whether the transaction was added.
+        """
         transaction = pending.transaction
-        keys = {put.key for put in transaction.puts}
+        written_keys = {put.key for put in transaction.puts}
         is_full = (
             len(self.members) >= self.max_members
-            or len(self._written) + len(keys) > _MAX_PUTS
+            or len(self._written_keys) + len(written_keys) > _MAX_PUTS
         )
         if self.members and is_full:
             return False
-        if keys & (self._written | self._checked.keys()):
+        if written_keys & (
+            self._written_keys | self._version_by_checked_key.keys()
+        ):
             return False
-        if not all(self._agrees(check) for check in transaction.checks):
+        if not all(self._is_compatible(check) for check in transaction.checks):
             return False
         self.members.append(pending)
-        self._written |= keys
+        self._written_keys |= written_keys
         for check in transaction.checks:
-            self._checked[check.key] = check.version
+            self._version_by_checked_key[check.key] = check.version
         return True
 
-    def divide(self, answer: Committed | Conflict) -> GroupOutcome:
-        """Divide an answer among the members.
+    def split_outcome(self, outcome: Committed | Conflict) -> GroupOutcome:
+        """Return the outcome of each member from that of the group.
 
-        A row with a member's own operation id shows that an earlier copy
-        took effect and its answer was lost. A member whose rows were written
-        over since is told of a conflict, as if it had come later.
+        A row with a member's own operation id shows that an earlier attempt
+        was committed and its response was lost. A member whose rows have been
+        overwritten since then gets a conflict, as if it had come later.
         """
-        if isinstance(answer, Committed):
-            return self._committed(answer)
-        row_by_key = {row.key: row for row in answer.rows}
-        took_effect = any(
-            _rows_of(member, row_by_key, is_own=True) for member in self.members
+        if isinstance(outcome, Committed):
+            return self._commit_outcomes(outcome)
+        row_by_key = {row.key: row for row in outcome.rows}
+        is_earlier_copy_committed = any(
+            _conflicting_rows(member, row_by_key, is_own=True)
+            for member in self.members
         )
-        divided = GroupOutcome({}, [])
+        group_outcome = GroupOutcome({}, [])
         for member in self.members:
             operation = member.transaction.operation
-            own = _rows_of(member, row_by_key, is_own=True)
-            foreign = _rows_of(member, row_by_key, is_own=False)
+            own = _conflicting_rows(member, row_by_key, is_own=True)
+            foreign = _conflicting_rows(member, row_by_key, is_own=False)
             if foreign:
-                divided.outcome_by_operation[operation] = Conflict(foreign)
-            elif took_effect:
+                group_outcome.outcome_by_operation[operation] = Conflict(
+                    foreign
+                )
+            elif is_earlier_copy_committed:
                 versions = {row.key: row.version for row in own}
-                divided.outcome_by_operation[operation] = Committed(versions)
+                group_outcome.outcome_by_operation[operation] = Committed(
+                    versions
+                )
             else:
-                divided.again.append(member)
-        return divided
+                group_outcome.retries.append(member)
+        return group_outcome
 
-    def _agrees(self, check: Check) -> bool:
-        known = self._checked.get(check.key, check.version)
-        return check.key not in self._written and known == check.version
+    def _is_compatible(self, check: Check) -> bool:
+        expected = self._version_by_checked_key.get(check.key, check.version)
+        return check.key not in self._written_keys and expected == check.version
 
-    def _committed(self, answer: Committed) -> GroupOutcome:
-        divided = GroupOutcome({}, [])
+    def _commit_outcomes(self, outcome: Committed) -> GroupOutcome:
+        group_outcome = GroupOutcome({}, [])
         for member in self.members:
             versions = {
-                put.key: answer.version_by_key[put.key]
+                put.key: outcome.version_by_key[put.key]
                 for put in member.transaction.puts
             }
             operation = member.transaction.operation
-            divided.outcome_by_operation[operation] = Committed(versions)
-        return divided
+            group_outcome.outcome_by_operation[operation] = Committed(versions)
+        return group_outcome
 
 
-def _rows_of(
-    member: Pending,
+def _conflicting_rows(
+    member: PendingCommit,
     row_by_key: dict[str, Row],
     *,
     is_own: bool,
 ) -> tuple[Row, ...]:
-    """Return the rows in conflict with a member's checks, own or foreign."""
+    """Return the rows that failed a member's checks.
+
+    Args:
+        member: The member.
+        row_by_key: The rows in conflict with the group.
+        is_own: Whether to return the rows that the member wrote itself, or
+            those that another transaction wrote.
+    """
     operation = member.transaction.operation
     return tuple(
         row_by_key[check.key]
--- a/hyssopring/store/queue.py
+++ b/hyssopring/store/queue.py
@@ -1,11 +1,14 @@
-"""Decides what goes to the table service, and when (no sockets).
-
-Bounded: so many calls wait at most, each for so long; more fail at once, as
-not sent. Fair: kinds of rows take turns, so a lease's renewal never waits
-behind a thousand chunks. Paced: transactions go out at a limited rate, few at
-once, merged while they wait. While the table does not answer, one call at a
-time probes it, after a jittered pause that doubles; as it answers again, the
-number under way grows from one, so that no storm of retries follows.
+"""Queue of calls to the table service, independent of the transport.
+
+- Bounded: the number of pending calls and their waiting time are limited;
+  calls beyond the limit fail at once as not sent.
+- Fair: kinds of rows are served round-robin, so a lease renewal never queues
+  behind a thousand chunks.
+- Rate limited: transactions are sent at a limited rate with few in flight;
+  pending ones are merged into groups.
+- Backoff: while the table does not respond, a single call is in flight, after
+  an exponential backoff with jitter. Once it responds, the number in flight
+  grows from one, which avoids a storm of retries.
 """
 
 import random
@@ -19,7 +22,7 @@
 from hyssopring.clock import Clock
 from hyssopring.errors import ErrorKind, Failure
 from hyssopring.logs import Event, log_event
-from hyssopring.store.groups import Group, Pending
+from hyssopring.store.groups import Group, PendingCommit
 from hyssopring.store.rows import (
     CommitCallback,
     Committed,
@@ -29,36 +32,43 @@
     Transaction,
 )
 
-__all__ = ('StoreQueue', 'StoreTimes', 'Transport')
+__all__ = ('StoreLimits', 'StoreQueue', 'Transport')
 
-_SLOWER = 1.5
-_FASTER = 0.9
-_QUICK_PART = 0.25
+_TIMEOUT_GROWTH = 1.5
+_TIMEOUT_DECAY = 0.9
+_FAST_RESPONSE_FRACTION = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class StoreTimes:
-    """Limits of the queue; times in milliseconds.
+class StoreLimits:
+    """Limits of the queue.
 
     Attributes:
-        timeout_ms: For one answer; grows to ``max_timeout_ms`` while the
-            table is slow, so that slow answers are still heard.
-        give_up_ms: How long a caller waits in all.
+        timeout_ms: Initial timeout of one request.
+        max_timeout_ms: Largest timeout of one request; the timeout grows
+            while the table is slow, so that slow responses are received.
+        call_timeout_ms: Timeout of a call, with all retries.
+        probe_min_ms: Backoff after the first failure.
+        probe_max_ms: Largest backoff.
+        max_pending: Largest number of unfinished calls.
+        max_in_flight: Largest number of requests in flight.
+        commits_per_s: Largest rate of transactions.
+        max_merged: Largest number of transactions in a group.
     """
 
     timeout_ms: float = 2000
     max_timeout_ms: float = 5000
-    give_up_ms: float = 6000
+    call_timeout_ms: float = 6000
     probe_min_ms: float = 200
     probe_max_ms: float = 3000
     max_pending: int = 2000
-    max_under_way: int = 4
+    max_in_flight: int = 4
     commits_per_s: float = 150
     max_merged: int = 64
 
 
 class Transport(Protocol):
-    """Sends calls to the table; an error means that no answer came."""
+    """Sends requests to the table; an error means that no response came."""
 
     def send_commit(
         self,
@@ -66,7 +76,7 @@
         timeout_ms: float,
         done: Callable[[Result[Committed | Conflict, Failure]], None],
     ) -> None:
-        """Send one transaction."""
+        """Send a group as one transaction."""
 
     def send_read(
         self,
@@ -74,46 +84,54 @@
         timeout_ms: float,
         done: ReadCallback,
     ) -> None:
-        """Send one read."""
+        """Send a read of all rows under a prefix."""
 
     def call_later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Call ``action`` after a while."""
+        """Call ``action`` after ``delay_ms``."""
 
 
 @dataclass(slots=True)
-class _Read:
+class _PendingRead:
     prefix: str
-    give_up_at: float
+    deadline: float
     callbacks: list[ReadCallback] = field(default_factory=list)
 
 
 class StoreQueue:
-    """Queues, merges, paces and repeats calls to the table."""
+    """Queues, merges, rate-limits and retries calls to the table.
+
+    Attributes:
+        available: Whether the table responded to the last request.
+        commits: Number of transactions sent.
+        reads: Number of reads sent.
+    """
 
     def __init__(
         self,
         clock: Clock,
         transport: Transport,
         rng: random.Random,
-        times: StoreTimes = StoreTimes(),
+        limits: StoreLimits = StoreLimits(),
     ) -> None:
-        """Send through ``transport``."""
+        """Initialize the queue; ``rng`` gives the jitter of the backoff."""
         self._clock = clock
         self._transport = transport
         self._rng = rng
-        self._times = times
-        self._lane_by_kind: OrderedDict[str, deque[Pending]] = OrderedDict()
-        self._reads: OrderedDict[str, _Read] = OrderedDict()
-        self._repeats: deque[Group] = deque()
+        self._limits = limits
+        self._lane_by_kind: OrderedDict[str, deque[PendingCommit]] = (
+            OrderedDict()
+        )
+        self._read_by_prefix: OrderedDict[str, _PendingRead] = OrderedDict()
+        self._retries: deque[Group] = deque()
         self._pending = 0
-        self._under_way = 0
-        self._limit = times.max_under_way
+        self._in_flight = 0
+        self._in_flight_limit = limits.max_in_flight
         self._failures = 0
-        self._not_before: float = 0
-        self._next_commit: float = 0
-        self._wakes_at: float = 0
-        self._timeout_ms = times.timeout_ms
-        self._is_read_next = False
+        self._backoff_until: float = 0
+        self._next_commit_at: float = 0
+        self._wake_up_at: float = 0
+        self._timeout_ms = limits.timeout_ms
+        self._is_read_turn = False
         self.available = True
         self.commits = 0
         self.reads = 0
@@ -121,71 +139,75 @@
     def commit(self, transaction: Transaction, done: CommitCallback) -> None:
         """Commit a transaction.
 
-        An ``Err`` of kind ``OUTCOME_UNKNOWN`` means that its effect is
-        unknown, of kind ``STORE_UNAVAILABLE`` that it was never sent.
+        An ``Err`` of kind ``OUTCOME_UNKNOWN`` means that it may have been
+        committed, of kind ``STORE_UNAVAILABLE`` that it was never sent.
         """
         if self._is_full():
-            done(Err(_not_sent('too many store calls are waiting')))
+            done(Err(_not_sent('too many store calls are pending')))
             return
         kind = transaction.puts[0].key.partition('/')[0]
-        give_up_at = self._clock.now() + self._times.give_up_ms
+        deadline = self._clock.now() + self._limits.call_timeout_ms
         lane = self._lane_by_kind.setdefault(kind, deque())
-        lane.append(Pending(transaction, done, give_up_at))
+        lane.append(PendingCommit(transaction, done, deadline))
         self._pending += 1
-        self._go_on()
+        self._dispatch()
 
     def read(self, prefix: str, done: ReadCallback) -> None:
-        """Read all rows under a prefix; one call serves all that wait."""
+        """Read all rows under a prefix; pending reads of it are merged."""
         if self._is_full():
-            done(Err(_not_sent('too many store calls are waiting')))
+            done(Err(_not_sent('too many store calls are pending')))
             return
-        queued = self._reads.get(prefix)
-        if queued is None:
-            give_up_at = self._clock.now() + self._times.give_up_ms
-            queued = _Read(prefix, give_up_at)
-            self._reads[prefix] = queued
-        queued.callbacks.append(done)
+        pending_read = self._read_by_prefix.get(prefix)
+        if pending_read is None:
+            deadline = self._clock.now() + self._limits.call_timeout_ms
+            pending_read = _PendingRead(prefix, deadline)
+            self._read_by_prefix[prefix] = pending_read
+        pending_read.callbacks.append(done)
         self._pending += 1
-        self._go_on()
+        self._dispatch()
 
     def _is_full(self) -> bool:
-        return self._pending >= self._times.max_pending
-
-    def _go_on(self) -> None:
-        """Send what may go now; come back for the rest."""
-        self._drop_expired()
-        while self._under_way < self._limit:
-            wait = self._not_before - self._clock.now()
-            if wait > 0:
-                self._wake(wait)
+        return self._pending >= self._limits.max_pending
+
+    def _dispatch(self) -> None:
+        """Send what the limits allow; schedule a later call for the rest."""
+        self._fail_expired()
+        while self._in_flight < self._in_flight_limit:
+            wait_ms = self._backoff_until - self._clock.now()
+            if wait_ms > 0:
+                self._schedule_dispatch(wait_ms)
                 return
             if not self._send_next():
                 return
 
     def _send_next(self) -> bool:
-        """Send a read or a transaction, in turn; False if nothing may go."""
-        self._is_read_next = not self._is_read_next
-        if self._reads and (self._is_read_next or not self._may_commit()):
-            _, queued = self._reads.popitem(last=False)
-            self._send_read(queued)
+        """Send a read or a group, alternately; return False if none can go."""
+        self._is_read_turn = not self._is_read_turn
+        if self._read_by_prefix and (
+            self._is_read_turn or not self._can_commit()
+        ):
+            _, pending_read = self._read_by_prefix.popitem(last=False)
+            self._send_read(pending_read)
             return True
-        if not self._may_commit():
+        if not self._can_commit():
             return False
-        group = self._repeats.popleft() if self._repeats else self._merge()
+        group = (
+            self._retries.popleft() if self._retries else self._build_group()
+        )
         self._send_commit(group)
         return True
 
-    def _may_commit(self) -> bool:
-        if not self._repeats and not any(self._lane_by_kind.values()):
+    def _can_commit(self) -> bool:
+        if not self._retries and not any(self._lane_by_kind.values()):
             return False
-        wait = self._next_commit - self._clock.now()
-        if wait > 0:
-            self._wake(wait)
-        return wait <= 0
-
-    def _merge(self) -> Group:
-        """Take from the lanes in turn what can be committed together."""
-        group = Group(self._times.max_merged)
+        wait_ms = self._next_commit_at - self._clock.now()
+        if wait_ms > 0:
+            self._schedule_dispatch(wait_ms)
+        return wait_ms <= 0
+
+    def _build_group(self) -> Group:
+        """Remove transactions that can be merged from the lanes, in turn."""
+        group = Group(self._limits.max_merged)
         lanes = [lane for lane in self._lane_by_kind.values() if lane]
         while lanes:
             lanes = [lane for lane in lanes if lane and group.add(lane[0])]
@@ -195,149 +217,156 @@
             if not lane:
                 self._lane_by_kind.pop(kind)
         if self._lane_by_kind:
-            # The next group begins with another kind of rows.
+            # The next group starts with another kind of row.
             self._lane_by_kind.move_to_end(next(iter(self._lane_by_kind)))
         return group
 
     def _send_commit(self, group: Group) -> None:
         group.attempts += 1
         self.commits += 1
-        self._under_way += 1
-        now = self._clock.now()
-        self._next_commit = now + 1000 / self._times.commits_per_s
+        self._in_flight += 1
+        now_ms = self._clock.now()
+        self._next_commit_at = now_ms + 1000 / self._limits.commits_per_s
         self._transport.send_commit(
             group,
             self._timeout_ms,
-            partial(self._commit_answered, group, now),
+            partial(self._on_commit_response, group, now_ms),
         )
 
-    def _send_read(self, queued: _Read) -> None:
+    def _send_read(self, pending_read: _PendingRead) -> None:
         self.reads += 1
-        self._under_way += 1
+        self._in_flight += 1
         self._transport.send_read(
-            queued.prefix,
+            pending_read.prefix,
             self._timeout_ms,
-            partial(self._read_answered, queued, self._clock.now()),
+            partial(self._on_read_response, pending_read, self._clock.now()),
         )
 
-    def _commit_answered(
+    def _on_commit_response(
         self,
         group: Group,
-        sent_at: float,
-        answer: Result[Committed | Conflict, Failure],
+        sent_at_ms: float,
+        response: Result[Committed | Conflict, Failure],
     ) -> None:
-        self._note(answer.is_ok(), sent_at, answer.err())
-        if answer.is_err():
-            # The same group again: its effect shows in its rows.
-            self._repeats.append(group)
-            self._go_on()
+        self._record_response(response.is_ok(), sent_at_ms, response.err())
+        if response.is_err():
+            # Resending is safe: its operation ids show an earlier commit.
+            self._retries.append(group)
+            self._dispatch()
             return
-        divided = group.divide(answer.unwrap())
-        for pending in reversed(divided.again):
+        group_outcome = group.split_outcome(response.unwrap())
+        for pending in reversed(group_outcome.retries):
             kind = pending.transaction.puts[0].key.partition('/')[0]
             self._lane_by_kind.setdefault(kind, deque()).appendleft(pending)
         for member in group.members:
             operation = member.transaction.operation
-            outcome = divided.outcome_by_operation.get(operation)
+            outcome = group_outcome.outcome_by_operation.get(operation)
             if outcome is not None:
                 self._pending -= 1
                 member.done(Ok(outcome))
-        self._go_on()
+        self._dispatch()
 
-    def _read_answered(
+    def _on_read_response(
         self,
-        queued: _Read,
-        sent_at: float,
-        answer: Result[Sequence[Row], Failure],
+        pending_read: _PendingRead,
+        sent_at_ms: float,
+        response: Result[Sequence[Row], Failure],
     ) -> None:
-        self._note(answer.is_ok(), sent_at, answer.err())
-        if answer.is_err() and self._clock.now() < queued.give_up_at:
-            newer = self._reads.get(queued.prefix)
-            if newer is not None:
-                queued.callbacks.extend(newer.callbacks)
-            self._reads[queued.prefix] = queued
+        self._record_response(response.is_ok(), sent_at_ms, response.err())
+        if response.is_err() and self._clock.now() < pending_read.deadline:
+            newer_read = self._read_by_prefix.get(pending_read.prefix)
+            if newer_read is not None:
+                pending_read.callbacks.extend(newer_read.callbacks)
+            self._read_by_prefix[pending_read.prefix] = pending_read
         else:
-            self._pending -= len(queued.callbacks)
-            for done in queued.callbacks:
-                done(answer)
-        self._go_on()
+            self._pending -= len(pending_read.callbacks)
+            for done in pending_read.callbacks:
+                done(response)
+        self._dispatch()
 
-    def _note(
+    def _record_response(
         self,
-        is_answered: bool,
-        sent_at: float,
+        has_response: bool,
+        sent_at_ms: float,
         failure: Failure | None,
     ) -> None:
-        """Learn from an answer, or from none, how the table does."""
-        self._under_way -= 1
-        if not is_answered:
-            self._note_failure(failure)
+        """Update timeout, backoff and in-flight limit from a response."""
+        self._in_flight -= 1
+        if not has_response:
+            self._record_failure(failure)
             return
-        took = self._clock.now() - sent_at
-        if took < self._timeout_ms * _QUICK_PART:
-            shorter = self._timeout_ms * _FASTER
-            self._timeout_ms = max(shorter, self._times.timeout_ms)
+        took_ms = self._clock.now() - sent_at_ms
+        if took_ms < self._timeout_ms * _FAST_RESPONSE_FRACTION:
+            shorter_ms = self._timeout_ms * _TIMEOUT_DECAY
+            self._timeout_ms = max(shorter_ms, self._limits.timeout_ms)
         self._failures = 0
-        self._not_before = 0
-        self._limit = min(self._limit + 1, self._times.max_under_way)
+        self._backoff_until = 0
+        self._in_flight_limit = min(
+            self._in_flight_limit + 1, self._limits.max_in_flight
+        )
         if not self.available:
             self.available = True
             log_event(Event.STORE_RECOVERED)
 
-    def _note_failure(self, failure: Failure | None) -> None:
-        self._limit = 1
-        longer = self._timeout_ms * _SLOWER
-        self._timeout_ms = min(longer, self._times.max_timeout_ms)
-        pause = min(
-            self._times.probe_min_ms * 2**self._failures,
-            self._times.probe_max_ms,
+    def _record_failure(self, failure: Failure | None) -> None:
+        self._in_flight_limit = 1
+        longer_ms = self._timeout_ms * _TIMEOUT_GROWTH
+        self._timeout_ms = min(longer_ms, self._limits.max_timeout_ms)
+        backoff_ms = min(
+            self._limits.probe_min_ms * 2**self._failures,
+            self._limits.probe_max_ms,
         )
         self._failures = min(self._failures + 1, 10)
-        self._not_before = self._clock.now() + self._rng.uniform(
-            pause / 2,
-            pause,
+        self._backoff_until = self._clock.now() + self._rng.uniform(
+            backoff_ms / 2,
+            backoff_ms,
         )
         if self.available:
             self.available = False
             detail = failure.detail if failure else ''
             log_event(Event.STORE_UNREACHABLE, detail=detail)
 
-    def _drop_expired(self) -> None:
-        now = self._clock.now()
+    def _fail_expired(self) -> None:
+        now_ms = self._clock.now()
         for lane in self._lane_by_kind.values():
-            while lane and lane[0].give_up_at <= now:
-                self._fail(lane.popleft(), _not_sent('the table is down'))
-        expired = [each for each in self._repeats if each.give_up_at <= now]
+            while lane and lane[0].deadline <= now_ms:
+                self._fail(
+                    lane.popleft(),
+                    _not_sent('the table service is unreachable'),
+                )
+        expired = [group for group in self._retries if group.deadline <= now_ms]
         for group in expired:
-            self._repeats.remove(group)
+            self._retries.remove(group)
             for member in group.members:
-                self._fail(member, _in_doubt())
-        self._drop_expired_reads(now)
-
-    def _drop_expired_reads(self, now: float) -> None:
-        for queued in list(self._reads.values()):
-            if queued.give_up_at <= now:
-                self._reads.pop(queued.prefix)
-                self._pending -= len(queued.callbacks)
-                for done in queued.callbacks:
-                    done(Err(_not_sent('the table is down')))
-
-    def _fail(self, pending: Pending, failure: Failure) -> None:
+                self._fail(member, _outcome_unknown())
+        self._fail_expired_reads(now_ms)
+
+    def _fail_expired_reads(self, now_ms: float) -> None:
+        for pending_read in list(self._read_by_prefix.values()):
+            if pending_read.deadline <= now_ms:
+                self._read_by_prefix.pop(pending_read.prefix)
+                self._pending -= len(pending_read.callbacks)
+                for done in pending_read.callbacks:
+                    done(Err(_not_sent('the table service is unreachable')))
+
+    def _fail(self, pending: PendingCommit, failure: Failure) -> None:
         self._pending -= 1
         pending.done(Err(failure))
 
-    def _wake(self, delay_ms: float) -> None:
-        """Come back once, also when several calls ask for it."""
-        now = self._clock.now()
-        if now < self._wakes_at <= now + delay_ms:
+    def _schedule_dispatch(self, delay_ms: float) -> None:
+        """Schedule a dispatch unless an earlier one is scheduled."""
+        now_ms = self._clock.now()
+        if now_ms < self._wake_up_at <= now_ms + delay_ms:
             return
-        self._wakes_at = now + delay_ms
-        self._transport.call_later(delay_ms, self._go_on)
+        self._wake_up_at = now_ms + delay_ms
+        self._transport.call_later(delay_ms, self._dispatch)
 
 
 def _not_sent(detail: str) -> Failure:
     return Failure(ErrorKind.STORE_UNAVAILABLE, detail)
 
 
-def _in_doubt() -> Failure:
-    return Failure(ErrorKind.OUTCOME_UNKNOWN, 'no answer from the table')
+def _outcome_unknown() -> Failure:
+    return Failure(
+        ErrorKind.OUTCOME_UNKNOWN, 'no response from the table service'
+    )
--- a/hyssopring/store/rows.py
+++ b/hyssopring/store/rows.py
@@ -1,4 +1,4 @@
-"""Values of the platform's table service: rows, checks and transactions."""
+"""Data types of the table service: rows, checks and transactions."""
 
 import uuid
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
     Attributes:
         key: Slash-separated path.
-        version: Grows by one with each write; 0 means that there is no row.
+        version: Incremented by each write; 0 if the row does not exist.
         operation: Id of the transaction that wrote this version.
         document: The row's JSON object.
     """
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Commit only if the row still has this version (0: no row)."""
+    """Precondition of a commit: the row has this version (0: no row)."""
 
     key: str
     version: int
@@ -51,45 +51,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write a row; None deletes it."""
+    """A write of a row; the document None deletes it."""
 
     key: str
     document: Document | None
 
 
-def _new_operation() -> str:
+def _new_operation_id() -> str:
     return uuid.uuid4().hex
 
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Checks and writes that take effect together or not at all.
+    """Checks and writes that are committed atomically.
 
-    ``operation`` is written into each row. When the answer to a commit is
+    ``operation`` is written into each row. When the response to a commit is
     lost, a retry conflicts with the client's own write; the row's operation
-    tells that apart from a rival's.
+    distinguishes it from the write of another client.
     """
 
     checks: tuple[Check, ...]
     puts: tuple[Put, ...]
-    operation: str = field(default_factory=_new_operation)
+    operation: str = field(default_factory=_new_operation_id)
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The transaction took effect; versions of the written rows by key."""
+    """The transaction was committed; versions of the written rows."""
 
     version_by_key: Mapping[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A check failed; the rows as they are now (version 0 if absent)."""
+    """A check failed; the current rows (version 0 if absent)."""
 
     rows: tuple[Row, ...]
 
     def row(self, key: str) -> Row | None:
-        """Return the current row under ``key`` if it was in conflict."""
+        """Return the current row under ``key``, None if not in conflict."""
         for row in self.rows:
             if row.key == key:
                 return row
@@ -101,13 +101,13 @@
 
 
 class Store(Protocol):
-    """The table service as the cores see it; answers come by callback.
+    """Interface of the table service; results are passed to callbacks.
 
-    A failure of a commit means that its effect is unknown.
+    A failure of a commit means that its outcome is unknown.
     """
 
     def commit(self, transaction: Transaction, done: CommitCallback) -> None:
-        """Commit, retrying lost answers until the client gives up."""
+        """Commit a transaction; retry without a response until a timeout."""
 
     def read(self, prefix: str, done: ReadCallback) -> None:
         """Read all rows whose key starts with ``prefix``, in key order."""
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -6,7 +6,7 @@
 from result import Err, Ok
 
 from hyssopring.errors import ErrorKind, Failure
-from hyssopring.store.queue import StoreQueue, StoreTimes
+from hyssopring.store.queue import StoreLimits, StoreQueue
 from hyssopring.store.rows import Check, Committed, Conflict, Put, Row
 from hyssopring.store.rows import Transaction
 from standins.table import Table
@@ -16,7 +16,7 @@
 class TableLink:
     """A table so many milliseconds away, that can be down or lose answers."""
 
-    def __init__(self, delay_ms=3.0, times=StoreTimes()):
+    def __init__(self, delay_ms=3.0, times=StoreLimits()):
         self.loop = Loop()
         self.table = Table()
         self.delay_ms = delay_ms
@@ -160,7 +160,7 @@
 
 
 def test_reads_that_wait_share_one_call():
-    link = TableLink(100.0, StoreTimes(max_under_way=1))
+    link = TableLink(100.0, StoreLimits(max_in_flight=1))
     answers = []
     link.queue.read('a/', answers.append)
     for _ in range(20):
