--- a/hyssopring/protocol/codec.py
+++ b/hyssopring/protocol/codec.py
@@ -1,7 +1,7 @@
-"""Turns messages into Thrift frames and back.
+"""Encodes messages as Thrift frames and decodes them.
 
-The generated structs stay inside this module. A frame that does not decode
-into exactly one whole message raises ``ProtocolError``.
+The generated structs are not used outside this module. A frame that does not
+hold exactly one complete message raises ``ProtocolError``.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 _MAX_ITEMS: Final = 100_000
 
-# What the library raises for bytes that are no message.
+# Exceptions of the Thrift library for invalid bytes.
 _DECODE_ERRORS: Final = (
     TException,
     AttributeError,
@@ -45,7 +45,7 @@
 
 
 def encode(message: messages.Message) -> bytes:
-    """Return the frame payload for one message."""
+    """Return the frame payload of a message."""
     message_class = type(message)
     envelope = ttypes.Envelope(
         **{
@@ -63,7 +63,7 @@
     """Return the message in a frame payload.
 
     Raises:
-        ProtocolError: The payload is not one whole, well-typed message.
+        ProtocolError: The payload is not exactly one valid message.
     """
     envelope = ttypes.Envelope()
     buffer = TMemoryBuffer(payload)
@@ -77,37 +77,39 @@
     except _DECODE_ERRORS as error:
         raise ProtocolError(f'undecodable frame: {error!r}') from error
     if buffer.cstringio_buf.tell() != len(payload):
-        raise ProtocolError('bytes are left over after the message')
+        raise ProtocolError('trailing bytes after the message')
     return _unwrap(envelope)
 
 
 def _unwrap(envelope: Any) -> messages.Message:
-    present = [
+    present_classes = [
         message_class
         for message_class, field in _FIELD_BY_CLASS.items()
         if getattr(envelope, field) is not None
     ]
-    if len(present) != 1:
-        raise ProtocolError(f'a frame holds {len(present)} messages, not one')
-    wire = getattr(envelope, _FIELD_BY_CLASS[present[0]])
+    if len(present_classes) != 1:
+        raise ProtocolError(
+            f'frame holds {len(present_classes)} messages instead of one'
+        )
+    wire = getattr(envelope, _FIELD_BY_CLASS[present_classes[0]])
     try:
         wire.validate()
-        return _FROM_WIRE_BY_CLASS[present[0]](wire)
+        return _FROM_WIRE_BY_CLASS[present_classes[0]](wire)
     except _DECODE_ERRORS as error:
         raise ProtocolError(f'incomplete message: {error}') from error
 
 
-def _same(part: Any) -> Any:
-    return part
+def _identity(field_value: Any) -> Any:
+    return field_value
 
 
-def _required(part: Any) -> Any:
-    if part is None:
+def _require(field_value: Any) -> Any:
+    if field_value is None:
         raise ValueError('a required field is missing')
-    return part
+    return field_value
 
 
-def _converters(
+def _field_converters(
     message_class: type,
     convert_class: Callable[[type], _Converter],
     scalar: _Converter,
@@ -125,12 +127,14 @@
     scalar: _Converter,
 ) -> _Converter:
     if get_origin(hint) is tuple:
-        element = _field_converter(
+        convert_element = _field_converter(
             get_args(hint)[0],
             convert_class,
             scalar,
         )
-        return lambda parts: tuple(element(part) for part in _required(parts))
+        return lambda elements: tuple(
+            convert_element(element) for element in _require(elements)
+        )
     if dataclasses.is_dataclass(hint):
         return convert_class(cast(type, hint))
     return scalar
@@ -138,22 +142,28 @@
 
 def _to_wire(message_class: type) -> _Converter:
     wire_class = getattr(ttypes, message_class.__name__)
-    fields = _converters(message_class, _to_wire, _same)
+    fields = _field_converters(message_class, _to_wire, _identity)
 
     def convert(message: Any) -> Any:  # noqa: WPS430 -- built once per class
         return wire_class(
-            *[change(getattr(message, name)) for name, change in fields]
+            *[
+                convert_field(getattr(message, name))
+                for name, convert_field in fields
+            ]
         )
 
     return convert
 
 
 def _from_wire(message_class: type) -> _Converter:
-    fields = _converters(message_class, _from_wire, _required)
+    fields = _field_converters(message_class, _from_wire, _require)
 
     def convert(wire: Any) -> Any:  # noqa: WPS430 -- built once per class
         return message_class(
-            *[change(getattr(wire, name)) for name, change in fields]
+            *[
+                convert_field(getattr(wire, name))
+                for name, convert_field in fields
+            ]
         )
 
     return convert
@@ -165,11 +175,14 @@
 
 _CLASSES: Final = get_args(messages.Message)
 _FIELD_BY_CLASS: Final = MappingProxyType(
-    {each: _snake_case(each.__name__) for each in _CLASSES}
+    {
+        message_class: _snake_case(message_class.__name__)
+        for message_class in _CLASSES
+    }
 )
 _TO_WIRE_BY_CLASS: Final = MappingProxyType(
-    {each: _to_wire(each) for each in _CLASSES}
+    {message_class: _to_wire(message_class) for message_class in _CLASSES}
 )
 _FROM_WIRE_BY_CLASS: Final = MappingProxyType(
-    {each: _from_wire(each) for each in _CLASSES}
+    {message_class: _from_wire(message_class) for message_class in _CLASSES}
 )
--- a/hyssopring/protocol/connection.py
+++ b/hyssopring/protocol/connection.py
@@ -1,4 +1,4 @@
-"""The connection between an entry and an agent for the generated messages."""
+"""Connection between an entry and an agent for the generated messages."""
 
 import hashlib
 import hmac
@@ -13,18 +13,24 @@
 
 
 def prove(secret: str, nonce: str, agent_id: str) -> str:
-    """Return the proof that a peer knows the deployment's secret."""
-    text = f'{nonce}|{agent_id}'
+    """Return the HMAC-SHA256 that proves knowledge of the secret, as hex.
+
+    Args:
+        secret: The secret of the deployment.
+        nonce: The nonce of the challenge.
+        agent_id: Id of the agent that the proof is for.
+    """
+    signed_text = f'{nonce}|{agent_id}'
     return hmac.new(
         secret.encode(),
-        text.encode(),
+        signed_text.encode(),
         hashlib.sha256,
     ).hexdigest()
 
 
 class InnerConnection(FramedConnection):
-    """Carries the messages of ``protocol.messages``."""
+    """A framed connection for the messages of ``protocol.messages``."""
 
-    def __init__(self, *owner: Any) -> None:
-        """Take a clock and the callbacks of ``FramedConnection``."""
-        super().__init__(_CODEC, *owner)
+    def __init__(self, *clock_and_callbacks: Any) -> None:
+        """Initialize with the other arguments of ``FramedConnection``."""
+        super().__init__(_CODEC, *clock_and_callbacks)
--- a/hyssopring/protocol/frames.py
+++ b/hyssopring/protocol/frames.py
@@ -1,4 +1,4 @@
-"""One framed connection between two processes (Twisted shell)."""
+"""Framed connection between two processes, on Twisted."""
 
 from dataclasses import dataclass
 from typing import Any, Callable, Final
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Bytes on all inner connections of a process, frames' lengths included."""
+    """Bytes on all internal connections of a process, with length prefixes."""
 
     bytes_sent: int = 0
     bytes_received: int = 0
@@ -27,16 +27,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Codec:
-    """How messages become frames; ``decode`` raises ``ProtocolError``."""
+    """Conversion of messages to frames and back.
+
+    Attributes:
+        encode: Returns the payload of a message.
+        decode: Returns the message of a payload; raises ``ProtocolError``.
+    """
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any]
 
 
 class FramedConnection(Int32StringReceiver):
-    """Receives and sends whole messages; owns its socket.
+    """A connection that sends and receives messages in frames.
+
+    Callbacks report that it opened, each message, a protocol error of the peer
+    and that it closed.
 
-    The owner is told of each message, of a broken peer and of the end.
+    Attributes:
+        last_heard: Time in ms at which bytes last arrived.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -51,7 +60,18 @@
         on_close: Callable[['FramedConnection'], None],
         traffic: Traffic | None = None,
     ) -> None:
-        """Take the owner's callbacks, and where it counts its bytes."""
+        """Initialize the connection.
+
+        Args:
+            codec: Converts messages to frames and back.
+            clock: Gives the time of the last bytes.
+            on_open: Called once connected.
+            on_message: Called with each message.
+            on_error: Called with the detail of a protocol error; frames after
+                it are ignored.
+            on_close: Called once disconnected.
+            traffic: Byte counters to update.
+        """
         self._codec = codec
         self._clock = clock
         self._on_open = on_open
@@ -63,51 +83,51 @@
         self._traffic = traffic or Traffic()
 
     def connectionMade(self) -> None:
-        """Turn off delayed sending, then tell the owner."""
+        """Disable Nagle's algorithm and call ``on_open``."""
         self.transport.setTcpNoDelay(True)
         self.last_heard = self._clock.now()
         self._on_open(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: WPS110
-        """Note that the peer is alive, then split the bytes into frames."""
+        """Record the time and the number of bytes, then split frames."""
         self.last_heard = self._clock.now()
         self._traffic.bytes_received += len(data)
         super().dataReceived(data)
 
     def stringReceived(self, string: bytes) -> None:
-        """Decode one frame; a frame that does not decode ends the peer."""
+        """Decode one frame; report an invalid one as a protocol error."""
         if self._is_broken:
             return
         try:
             message = self._codec.decode(string)
         except ProtocolError as error:
-            self._break(str(error))
+            self._fail(str(error))
             return
         self._on_message(self, message)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Refuse a frame longer than the protocol allows."""
-        self._break(f'a frame of {length} bytes is too long')
+        """Report a frame longer than ``MAX_FRAME_BYTES``."""
+        self._fail(f'frame of {length} bytes exceeds {MAX_FRAME_BYTES} bytes')
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
-        """Tell the owner that the connection is gone."""
+        """Call ``on_close``."""
         self._on_close(self)
 
-    def _break(self, detail: str) -> None:
-        # What follows a broken frame in the same read is not to be trusted.
+    def _fail(self, detail: str) -> None:
+        # Frames after an invalid one in the same read must be ignored.
         self._is_broken = True
         self._on_error(self, detail)
 
     def send(self, message: Any) -> None:
-        """Write one message."""
+        """Send one message."""
         payload = self._codec.encode(message)
         self._traffic.bytes_sent += len(payload) + _LENGTH_PREFIX_BYTES
         self.sendString(payload)
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close after all written bytes have been sent."""
         self.transport.loseConnection()
 
     def abort(self) -> None:
-        """Drop the connection at once, also when the peer is silent."""
+        """Close at once, without waiting for the peer."""
         self.transport.abortConnection()
--- a/hyssopring/protocol/messages/__init__.py
+++ b/hyssopring/protocol/messages/__init__.py
@@ -1,8 +1,8 @@
 """Typed messages between entries and agents.
 
-Each class mirrors the struct of the same name in ``inner.thrift``. Times are
-milliseconds. ``Message`` is what a frame can hold; the other classes are
-parts of messages.
+Each class corresponds to the struct of the same name in ``inner.thrift``.
+Times are in milliseconds. ``Message`` is the union of the messages that a
+frame can hold; the other classes are parts of messages.
 """
 
 from hyssopring.protocol.messages.calls import (
--- a/hyssopring/protocol/messages/calls.py
+++ b/hyssopring/protocol/messages/calls.py
@@ -1,4 +1,4 @@
-"""Callers' requests to backend servers, and what became of them."""
+"""Requests of callers to backend servers, and their outcomes."""
 
 from dataclasses import dataclass
 
@@ -21,11 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """A caller's request on its way to a backend server.
+    """A request of a caller, forwarded to a backend server.
 
-    ``budget_ms`` is what is left until the caller's deadline. ``after`` is
-    the agent's last heartbeat that the entry had heard when it first sent the
-    request: it cannot have arrived earlier.
+    ``budget_ms`` is the remaining time until the caller's deadline. ``after``
+    is the sequence number of the last heartbeat that the entry had received
+    from the agent when it first sent the request: the agent cannot have
+    received the request before that heartbeat.
     """
 
     request_id: str
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResponse:
-    """What became of a call; ``outcome`` is a ``CallOutcome`` value."""
+    """The outcome of a call; ``outcome`` is a ``CallOutcome`` value."""
 
     request_id: str
     outcome: str
@@ -58,17 +59,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """The caller has gone; drop the call if it has not started."""
+    """Cancels a call of a disconnected caller if it has not started."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeQuery:
-    """Asks what became of a call; a call never seen is refused for good.
+    """Requests the outcome of a call.
 
-    ``after`` as in ``CallRequest``. With ``peek`` the agent only looks: it
-    answers at once, also while the call runs, and refuses nothing.
+    An agent that has not received the call rejects it permanently. ``after``
+    is as in ``CallRequest``. With ``peek`` the agent responds at once, also
+    while the call runs, and rejects nothing.
     """
 
     request_id: str
--- a/hyssopring/protocol/messages/configuration.py
+++ b/hyssopring/protocol/messages/configuration.py
@@ -1,4 +1,4 @@
-"""Templates and parameters, passed on from peer to peer."""
+"""Configuration items, forwarded between peers."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationItem:
-    """One template or parameter set; an empty document withdraws it."""
+    """One configuration item; an empty document withdraws it."""
 
     key: str
     version: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """Changes after ``base_version``; base 0 carries the whole state."""
+    """Changes after ``base_version``; base 0 holds the complete state."""
 
     base_version: int
     version: int
@@ -25,6 +25,6 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationQuery:
-    """Asks a peer for what it has beyond ``version``."""
+    """Requests the changes after ``version`` from a peer."""
 
     version: int
--- a/hyssopring/protocol/messages/heartbeats.py
+++ b/hyssopring/protocol/messages/heartbeats.py
@@ -1,4 +1,4 @@
-"""Signs of life: load reports, leases and pings."""
+"""Heartbeats with load reports, lease grants, and pings."""
 
 from dataclasses import dataclass
 
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """What an agent knows of one backend server on its VM.
+    """The load of one backend server on the VM of an agent.
 
     Attributes:
-        tail_ms: 95th percentile over the last seconds; 0 when too few calls
-            ended in them to say.
+        tail_ms: 95th percentile over the last seconds; 0 if too few calls
+            ended in that time.
     """
 
     service_name: str
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskUsage:
-    """What the tasks of one template and team take on an agent, in sum.
+    """Total usage of the tasks of one template and team on an agent.
 
     Attributes:
-        reserved: Sum of the sizes that they were started with.
-        used: Sum of what the worker last measured, which lags; a throttled
-            task uses less.
-        share: Mean share of processor time that throttling leaves them.
+        reserved: Total of the sizes that the tasks were started with.
+        used: Total of the last measurements of the worker, which lag;
+            throttling reduces it.
+        share: Mean share of processor time that throttling leaves.
     """
 
     service_name: str
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent by the agent each second; asks for leases and reports load.
+    """Reports the load of an agent each second and requests leases.
 
     Attributes:
-        worker_boot: Empty while the agent's worker does not answer.
+        worker_boot: Empty while the worker of the agent does not respond.
     """
 
     sequence: int
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """Right to run a shard's tasks, counted from the heartbeat's sending."""
+    """Lease on the tasks of a shard, from the sending of the heartbeat."""
 
     shard: int
     epoch: int
@@ -84,10 +84,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """Answers the heartbeat with the same sequence number.
+    """Acknowledges the heartbeat with the same sequence number.
 
-    ``next_ms`` is when the entry wants the next one, unless something new
-    is to be said before.
+    ``next_ms`` is the time until the next heartbeat, which is sent earlier if
+    there is news to report.
     """
 
     sequence: int
@@ -98,13 +98,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks a quiet peer for a sign of life."""
+    """Requests a pong from a silent peer."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Pong:
-    """Answers the ping with the same sequence number."""
+    """Response to the ping with the same sequence number."""
 
     sequence: int
--- a/hyssopring/protocol/messages/membership.py
+++ b/hyssopring/protocol/messages/membership.py
@@ -1,4 +1,4 @@
-"""Greeting of a new connection, and who the entries are."""
+"""Handshake of a new connection, and the list of entries."""
 
 from dataclasses import dataclass
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The agent's answer; ``proof`` shows that it knows the secret."""
+    """Response of the agent; ``proof`` proves knowledge of the secret."""
 
     version: int
     agent_id: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The entry accepts the agent."""
+    """Acceptance of the agent by the entry."""
 
     entry_id: str
     configuration_version: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryMember:
-    """One entry, and where agents dial it."""
+    """One entry and the address at which agents connect to it."""
 
     entry_id: str
     address: str
@@ -64,11 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryList:
-    """Who the entries are, sent when that changes.
+    """The current entries, sent on each change.
 
-    From an entry: all that it knows of, and the id of the entry that holds
-    each shard, by shard number, empty if unknown. From an agent: entries
-    that it is connected to and that the receiver's own list lacks.
+    From an entry: all known entries, and in ``holders`` the id of the entry
+    that holds each shard, by shard number, empty if unknown. From an agent:
+    entries that it is connected to and that are missing in the list of the
+    receiver.
     """
 
     members: tuple[EntryMember, ...]
--- a/hyssopring/protocol/messages/resources.py
+++ b/hyssopring/protocol/messages/resources.py
@@ -1,4 +1,4 @@
-"""Sizes of machines and tasks."""
+"""Resource amounts of VMs and tasks."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Processors, memory in GB, and accelerators."""
+    """An amount of processor cores, memory in GB, and accelerators."""
 
     cores: float = 0
     memory_gb: float = 0
     accelerators: int = 0
 
     def plus(self, other: 'Resources') -> 'Resources':
-        """Return the sum of both."""
+        """Return the sum of both amounts."""
         return Resources(
             self.cores + other.cores,
             self.memory_gb + other.memory_gb,
@@ -22,7 +22,7 @@
         )
 
     def minus(self, other: 'Resources') -> 'Resources':
-        """Return what is left after taking ``other`` away."""
+        """Return the difference; dimensions may be negative."""
         return Resources(
             self.cores - other.cores,
             self.memory_gb - other.memory_gb,
@@ -30,7 +30,7 @@
         )
 
     def larger(self, other: 'Resources') -> 'Resources':
-        """Return the larger of both in each dimension."""
+        """Return the maximum of both in each dimension."""
         return Resources(
             max(self.cores, other.cores),
             max(self.memory_gb, other.memory_gb),
@@ -38,7 +38,7 @@
         )
 
     def holds(self, other: 'Resources') -> bool:
-        """Tell whether ``other`` fits in here in every dimension."""
+        """Return whether ``other`` fits in every dimension."""
         return (
             other.cores <= self.cores
             and other.memory_gb <= self.memory_gb
--- a/hyssopring/protocol/messages/tasks.py
+++ b/hyssopring/protocol/messages/tasks.py
@@ -1,7 +1,7 @@
-"""Commands for tasks, and reports of their states.
+"""Commands for tasks, and reports of task states.
 
-A task's ``attempt`` only grows and fences older starts of the same task; a
-shard's ``epoch`` only grows and fences older planners.
+The ``attempt`` of a task only increases and fences earlier starts of it; the
+``epoch`` of a shard only increases and fences earlier planners.
 """
 
 from dataclasses import dataclass
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTask:
-    """Start one attempt of a task under the shard's lease.
+    """Starts one attempt of a task under the lease of its shard.
 
     Attributes:
-        worker_boot: The only boot of the worker that this start is for.
+        worker_boot: The boot of the worker that the start is valid for.
     """
 
     task_id: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop one attempt; ``mode`` is ``checkpoint`` or ``cancel``."""
+    """Stops one attempt; ``mode`` is ``checkpoint`` or ``cancel``."""
 
     task_id: str
     shard: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ThrottleTask:
-    """Leave one attempt this share of its processor time, 0 to 1."""
+    """Limits one attempt to a share of its processor time, 0 to 1."""
 
     task_id: str
     shard: int
@@ -78,9 +78,9 @@
 class TaskReport:
     """States of tasks on an agent.
 
-    ``complete`` means that these are all tasks of ``shard`` here, said with
-    knowledge of ``epoch``: commands of older epochs are refused from now on.
-    It speaks of what ``worker_boot`` runs and of no earlier boot.
+    ``complete`` means that these are all tasks of ``shard`` on the agent, and
+    that the agent knows ``epoch``: it rejects commands of earlier epochs from
+    now on. The report covers only tasks of the boot ``worker_boot``.
     """
 
     tasks: tuple[TaskStatus, ...]
@@ -92,6 +92,6 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskReportAck:
-    """The planner has recorded these states; the agent may forget them."""
+    """Confirms recorded states, which the agent may delete."""
 
     tasks: tuple[TaskStatus, ...]
--- a/hyssopring/protocol/structs.py
+++ b/hyssopring/protocol/structs.py
@@ -1,9 +1,10 @@
-"""Thrift structs described by data classes, without generated code.
+"""Thrift structs defined by data classes, without generated code.
 
-A class under ``@struct`` is written and read by the Thrift library as if its
-compiler had made it: fields are numbered from 1 in their order, and all are
-required. New fields go to the end. Used for the messages about jobs, where
-no compiler is at hand; ``inner.thrift`` holds the others.
+The Thrift library reads and writes a class decorated with ``@struct`` like a
+generated one: field ids count from 1 in the order of definition, and all
+fields are required. New fields must be added at the end. The messages about
+jobs are defined so, as there is no Thrift compiler for them; the others are
+in ``inner.thrift``.
 """
 
 import dataclasses
@@ -25,10 +26,10 @@
 
 __all__ = ('ProtocolError', 'read_struct', 'struct', 'write_struct')
 
-_MAX_BYTES: Final = 9 * 1024 * 1024
+_MAX_STRUCT_BYTES: Final = 9 * 1024 * 1024
 _MAX_ITEMS: Final = 100_000
 _UTF8: Final = 'UTF8'
-# The library's C reader wants a true class for each scalar kind.
+# The C extension of the library requires an actual class per scalar type.
 _SCALARS: Final = MappingProxyType(
     {
         bool: TType.BOOL,
@@ -37,7 +38,7 @@
         str: TType.STRING,
     },
 )
-# What the library raises for bytes that are no struct.
+# Exceptions of the Thrift library for invalid bytes.
 _READ_ERRORS: Final = (
     TException,
     AttributeError,
@@ -52,90 +53,98 @@
 
 
 class ProtocolError(Exception):
-    """A peer sent something that is not a message of this protocol."""
+    """A peer sent bytes that are not a valid message of this protocol."""
 
 
 @dataclass_transform()
 def struct(message_class: type[_Class]) -> type[_Class]:
-    """Make a data class readable and writable as a Thrift struct.
+    """Return a data class that can be encoded as a Thrift struct.
 
-    Fields are ``bool``, ``int``, ``float``, ``str``, another struct, or a
-    list of one of these.
+    Field types are ``bool``, ``int``, ``float``, ``str``, another struct, or
+    a list of these.
     """
     for name in message_class.__annotations__:
-        # The library makes parts without arguments and then sets the fields
-        # that came; what stays None was missing.
+        # The library creates nested structs without arguments and sets the
+        # fields that it reads; a field that is still None was missing.
         if name not in message_class.__dict__:
             setattr(message_class, name, None)
-    made: Any = dataclasses.dataclass(message_class)
-    hints = get_type_hints(made)
-    rows: list[Any] = [None]
-    for number, field in enumerate(dataclasses.fields(made), 1):
-        kind, argument = _wire_type(hints[field.name])
-        rows.append((number, kind, field.name, argument, None))
-    setattr(made, 'thrift_spec', tuple(rows))  # noqa: B010
-    return cast(type[_Class], made)
+    struct_class: Any = dataclasses.dataclass(message_class)
+    hints = get_type_hints(struct_class)
+    field_specs: list[Any] = [None]
+    for field_id, field in enumerate(dataclasses.fields(struct_class), 1):
+        type_id, type_arguments = _wire_type(hints[field.name])
+        field_specs.append(
+            (field_id, type_id, field.name, type_arguments, None)
+        )
+    setattr(struct_class, 'thrift_spec', tuple(field_specs))  # noqa: B010
+    return cast(type[_Class], struct_class)
 
 
 def write_struct(message: Any) -> bytes:
-    """Return the bytes of one struct."""
+    """Return the encoded struct."""
     buffer = TMemoryBuffer()
     protocol = TBinaryProtocolAccelerated(buffer)
-    packed = protocol._fast_encode(  # noqa: SLF001, WPS437
+    encoded = protocol._fast_encode(  # noqa: SLF001, WPS437
         message,
         [type(message), message.thrift_spec],
     )
-    return bytes(packed)
+    return bytes(encoded)
 
 
 def read_struct(message_class: type[_Class], payload: bytes) -> _Class:
-    """Return the struct that the bytes hold.
+    """Return the decoded struct.
 
     Raises:
-        ProtocolError: The bytes are not one whole struct of this class.
+        ProtocolError: The payload is not exactly one complete struct.
     """
     buffer = TMemoryBuffer(payload)
     protocol = TBinaryProtocolAccelerated(
         buffer,
-        string_length_limit=_MAX_BYTES,
+        string_length_limit=_MAX_STRUCT_BYTES,
         container_length_limit=_MAX_ITEMS,
     )
-    blank = message_class.__new__(message_class)
+    decoded = message_class.__new__(message_class)
     try:
         protocol._fast_decode(  # noqa: SLF001, WPS437
-            blank,
+            decoded,
             protocol,
-            [message_class, blank.thrift_spec],  # type: ignore[attr-defined]
+            [message_class, decoded.thrift_spec],  # type: ignore[attr-defined]
         )
-        _check_whole(blank)
+        _check_complete(decoded)
     except _READ_ERRORS as error:
         raise ProtocolError(f'undecodable struct: {error!r}') from error
     if buffer.cstringio_buf.tell() != len(payload):
-        raise ProtocolError('bytes are left over after the struct')
-    return blank
+        raise ProtocolError('trailing bytes after the struct')
+    return decoded
 
 
 def _wire_type(hint: Any) -> tuple[int, Any]:
     if get_origin(hint) is list:
-        kind, argument = _wire_type(get_args(hint)[0])
-        return TType.LIST, (kind, argument, False)
+        type_id, type_arguments = _wire_type(get_args(hint)[0])
+        return TType.LIST, (type_id, type_arguments, False)
     if dataclasses.is_dataclass(hint):
         return TType.STRUCT, [hint, getattr(hint, 'thrift_spec')]  # noqa: B009
     return _SCALARS[hint], _UTF8 if hint is str else None
 
 
-def _check_whole(part: Any) -> None:
-    for _number, kind, name, _argument, _default in part.thrift_spec[1:]:
-        found = getattr(part, name)
-        if found is None:
-            raise ValueError(f'{name} is missing')
-        if kind == TType.STRUCT:
-            _check_whole(found)
-        elif kind == TType.LIST:
-            _check_members(found)
-
-
-def _check_members(members: list[Any]) -> None:
-    for member in members:
-        if dataclasses.is_dataclass(member):
-            _check_whole(member)
+def _check_complete(message: Any) -> None:
+    for (
+        _field_id,
+        type_id,
+        name,
+        _type_arguments,
+        _default,
+    ) in message.thrift_spec[1:]:
+        field_value = getattr(message, name)
+        if field_value is None:
+            raise ValueError(f'required field {name} is missing')
+        if type_id == TType.STRUCT:
+            _check_complete(field_value)
+        elif type_id == TType.LIST:
+            _check_elements(field_value)
+
+
+def _check_elements(elements: list[Any]) -> None:
+    for element in elements:
+        if dataclasses.is_dataclass(element):
+            _check_complete(element)
