--- a/hyssopring/agent/outside.py
+++ b/hyssopring/agent/outside.py
@@ -19,8 +19,8 @@
 )
 from hyssopring.tasks import StopMode, TaskPhase
 from hyssopring.web_client import (
-    FetchedAnswer,
-    TruncatedAnswer,
+    FetchedResponse,
+    TruncatedResponseError,
     fetch,
     pooled_agent,
 )
@@ -70,7 +70,7 @@
         deferred.addCallback(done)
 
 
-def _answered(request: CallRequest, answer: FetchedAnswer) -> CallResponse:
+def _answered(request: CallRequest, answer: FetchedResponse) -> CallResponse:
     return CallResponse(
         request.request_id,
         CallOutcome.ANSWERED.value,
@@ -84,7 +84,7 @@
     # A refused connection is certain: no byte of the request was sent.
     if reason.check(ConnectionRefusedError, ConnectError):
         outcome, kind = CallOutcome.NOT_RUN, ErrorKind.NO_BACKEND
-    elif reason.check(TruncatedAnswer):
+    elif reason.check(TruncatedResponseError):
         outcome, kind = CallOutcome.FAILED, ErrorKind.TRUNCATED
     else:
         outcome, kind = CallOutcome.FAILED, ErrorKind.BACKEND_FAILED
@@ -170,7 +170,7 @@
         self,
         path: str,
         document: dict[str, Any],
-        done: Callable[[FetchedAnswer | None], None],
+        done: Callable[[FetchedResponse | None], None],
     ) -> None:
         deferred = fetch(
             self._reactor,
@@ -183,20 +183,20 @@
         deferred.addCallbacks(done, lambda _reason: done(None))
 
 
-def _is_started(answer: FetchedAnswer | None) -> bool | None:
+def _is_started(answer: FetchedResponse | None) -> bool | None:
     if answer is None or answer.status not in {_OK, _CONFLICT}:
         return None
     return answer.status == _OK
 
 
-def _stop_answer(answer: FetchedAnswer | None) -> StopAnswer | None:
+def _stop_answer(answer: FetchedResponse | None) -> StopAnswer | None:
     if answer is None or answer.status != _OK:
         return None
     document = json.loads(answer.body)
     return StopAnswer(TaskPhase(document['phase']), document['checkpoint'])
 
 
-def _listing(answer: FetchedAnswer) -> WorkerListing | None:
+def _listing(answer: FetchedResponse) -> WorkerListing | None:
     if answer.status != _OK:
         return None
     document = json.loads(answer.body)
--- a/hyssopring/platform/json_calls.py
+++ b/hyssopring/platform/json_calls.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.defer import Deferred
 
-from hyssopring.web_client import FetchedAnswer, fetch, pooled_agent
+from hyssopring.web_client import FetchedResponse, fetch, pooled_agent
 
 __all__ = ('JsonAnswer', 'JsonClient', 'UnreadableAnswer')
 
@@ -71,7 +71,7 @@
         self._agent.close_idle()
 
 
-def _read(answer: FetchedAnswer) -> JsonAnswer:
+def _read(answer: FetchedResponse) -> JsonAnswer:
     if not answer.body:
         return JsonAnswer(answer.status, {})
     try:
--- a/hyssopring/store/client.py
+++ b/hyssopring/store/client.py
@@ -17,7 +17,7 @@
     ReadCallback,
     Row,
 )
-from hyssopring.web_client import FetchedAnswer, fetch, pooled_agent
+from hyssopring.web_client import FetchedResponse, fetch, pooled_agent
 
 __all__ = ('HttpTransport', 'store_queue')
 
@@ -114,7 +114,7 @@
     )
 
 
-def _parse_response(response: FetchedAnswer) -> Result[Any, Failure]:
+def _parse_response(response: FetchedResponse) -> Result[Any, Failure]:
     if response.status not in {_HTTP_OK, _HTTP_CONFLICT}:
         detail = f'the table service responded with status {response.status}'
         return Err(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
--- a/hyssopring/web_client.py
+++ b/hyssopring/web_client.py
@@ -24,11 +24,11 @@
 from hyssopring.clock import MILLIS_PER_SECOND
 
 __all__ = (
-    'FetchedAnswer',
+    'FetchedResponse',
     'PooledAgent',
-    'SlowAnswer',
-    'TooLargeAnswer',
-    'TruncatedAnswer',
+    'ResponseTimeoutError',
+    'TooLargeResponseError',
+    'TruncatedResponseError',
     'fetch',
     'pooled_agent',
 )
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchedAnswer:
+class FetchedResponse:
     """A complete HTTP response."""
 
     status: int
@@ -47,15 +47,15 @@
     body: bytes
 
 
-class TruncatedAnswer(Exception):
+class TruncatedResponseError(Exception):
     """A response ended before it was complete."""
 
 
-class TooLargeAnswer(TruncatedAnswer):
+class TooLargeResponseError(TruncatedResponseError):
     """A response exceeds ``MAX_RESPONSE_BYTES``."""
 
 
-class SlowAnswer(TimeoutError):
+class ResponseTimeoutError(TimeoutError):
     """A response was not complete within its timeout."""
 
 
@@ -78,7 +78,7 @@
         if self.size <= MAX_RESPONSE_BYTES:
             self._chunks.append(data)
         elif not self.body.called:
-            error = TooLargeAnswer(
+            error = TooLargeResponseError(
                 f'response exceeds {MAX_RESPONSE_BYTES} bytes'
             )
             self.body.errback(error)
@@ -90,7 +90,9 @@
         if reason.check(ResponseDone):
             self.body.callback(b''.join(self._chunks))
             return
-        error = TruncatedAnswer(f'response truncated after {self.size} bytes')
+        error = TruncatedResponseError(
+            f'response truncated after {self.size} bytes'
+        )
         self.body.errback(error)
 
     def _abort(self) -> None:
@@ -222,7 +224,7 @@
         detail = f'{size} bytes received, none for {self._timeout_ms} ms'
         if self._silence_timeout_ms is None:
             detail = f'{size} bytes received within {self._timeout_ms} ms'
-        self._abort(SlowAnswer(detail))
+        self._abort(ResponseTimeoutError(detail))
 
     def _on_cancel(self, _outcome: Deferred) -> None:
         self._abort(CancelledError())
@@ -265,9 +267,9 @@
             slow and fast links.
 
     Returns:
-        A deferred ``FetchedAnswer``. It fails if the connection breaks, if the
-        body is shorter than announced, or at the timeout. Cancelling it drops
-        the connection.
+        A deferred ``FetchedResponse``. It fails if the connection breaks, if
+        the body is shorter than announced, or at the timeout. Cancelling it
+        drops the connection.
     """
     raw_headers = Headers()
     for name, text in headers:
@@ -295,6 +297,6 @@
     )
     response.deliverBody(collector)
     collector.body.addCallback(
-        lambda body: FetchedAnswer(response.code, header_pairs, body),
+        lambda body: FetchedResponse(response.code, header_pairs, body),
     )
     return collector.body
--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -10,7 +10,11 @@
 from twisted.web.client import ResponseDone
 
 from hyssopring.store import client
-from hyssopring.web_client import SlowAnswer, TruncatedAnswer, fetch
+from hyssopring.web_client import (
+    ResponseTimeoutError,
+    TruncatedResponseError,
+    fetch,
+)
 
 SILENCE_MS = 1200
 
@@ -79,7 +83,7 @@
     dribble(clock, response, 2, 0.4)
     clock.advance(SILENCE_MS / 1000)
     assert response.is_aborted
-    assert outcomes[0].check(SlowAnswer)
+    assert outcomes[0].check(ResponseTimeoutError)
     assert '200 bytes' in outcomes[0].getErrorMessage()
 
 
@@ -90,7 +94,7 @@
     clock.advance(1.9)
     assert not outcomes
     clock.advance(0.1)
-    assert outcomes[0].check(SlowAnswer)
+    assert outcomes[0].check(ResponseTimeoutError)
     assert response.is_aborted
 
 
@@ -98,7 +102,7 @@
     _calling, response, outcomes = begun(clock, timeout_ms=2000)
     dribble(clock, response, 4, 0.4)
     clock.advance(0.4)
-    assert outcomes[0].check(SlowAnswer)
+    assert outcomes[0].check(ResponseTimeoutError)
 
 
 def test_a_call_that_is_given_up_drops_its_connection(clock):
@@ -125,7 +129,7 @@
     _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
     dribble(clock, response, 1, 0.1)
     response.end(ConnectionAborted())
-    assert outcomes[0].check(TruncatedAnswer)
+    assert outcomes[0].check(TruncatedResponseError)
     assert not clock.getDelayedCalls()
 
 
