--- a/bench/slopes_cores.py
+++ b/bench/slopes_cores.py
@@ -13,7 +13,7 @@
 from hyssopring.clock import ManualClock, MonotonicClock
 from hyssopring.configuration import (
     ConfigurationChange,
-    ConfigurationKeeper,
+    ConfigurationManager,
     ConfigurationState,
 )
 from hyssopring.logs import configure_logging
@@ -229,7 +229,7 @@
     """One operator's change: validated, committed, read back, applied."""
     store = MemoryStore()
     state = ConfigurationState()
-    keeper = ConfigurationKeeper(state, store, lambda update: None)
+    keeper = ConfigurationManager(state, store, lambda update: None)
     document = json.dumps({'urgency': 3})
     versions = {}
 
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -63,7 +63,7 @@
         if self.connection is None:
             return
         limit = self.owner.core.sessions.silence_timeout_ms(self.entry_id)
-        if now - self.connection.last_heard > limit:
+        if now - self.connection.last_received_at > limit:
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             self.connection.abort()
 
--- a/hyssopring/configuration/__init__.py
+++ b/hyssopring/configuration/__init__.py
@@ -4,7 +4,7 @@
     AcceptedChange,
     ConfigurationChange,
 )
-from hyssopring.configuration.changes import ConfigurationKeeper
+from hyssopring.configuration.changes import ConfigurationManager
 from hyssopring.configuration.models import DrainModel, JobSubmission
 from hyssopring.configuration.state import ConfigurationState, ServicePolicy
 from hyssopring.configuration.validation import parse_document
@@ -12,7 +12,7 @@
 __all__ = (
     'AcceptedChange',
     'ConfigurationChange',
-    'ConfigurationKeeper',
+    'ConfigurationManager',
     'ConfigurationState',
     'DrainModel',
     'JobSubmission',
--- a/hyssopring/configuration/changes.py
+++ b/hyssopring/configuration/changes.py
@@ -31,7 +31,7 @@
 from hyssopring.protocol.messages import ConfigurationUpdate
 from hyssopring.store import Committed, Conflict, Row, Store
 
-__all__ = ('ConfigurationKeeper',)
+__all__ = ('ConfigurationManager',)
 
 _MAX_BATCH_CHANGES: Final = 32
 _MAX_PENDING: Final = 1000
@@ -40,7 +40,7 @@
 _MAX_COMMITS: Final = 3
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Keeps the configuration of a process current and commits changes."""
 
     def __init__(
@@ -49,7 +49,7 @@
         store: Store,
         on_update: Callable[[ConfigurationUpdate], None],
     ) -> None:
-        """Initialize the keeper; ``on_update`` receives each update applied."""
+        """Initialize the manager; ``on_update`` receives applied updates."""
         self._state = state
         self._store = store
         self._follower = TableFollower(state, store, on_update)
--- a/hyssopring/entry/core.py
+++ b/hyssopring/entry/core.py
@@ -6,7 +6,7 @@
 from typing import Callable
 
 from hyssopring.clock import Clock
-from hyssopring.configuration import ConfigurationKeeper, ConfigurationState
+from hyssopring.configuration import ConfigurationManager, ConfigurationState
 from hyssopring.entry.calls import Callers, Links
 from hyssopring.entry.claim_cleaner import ClaimCleaner
 from hyssopring.entry.claims import ClaimTable
@@ -94,7 +94,7 @@
         self._invariants = Invariants(metrics)
         self.fleet = Fleet()
         self.configuration = ConfigurationState()
-        self.configuration_keeper = ConfigurationKeeper(
+        self.configuration_keeper = ConfigurationManager(
             self.configuration,
             store,
             self._push_configuration,
--- a/hyssopring/jobs/links.py
+++ b/hyssopring/jobs/links.py
@@ -123,7 +123,7 @@
         limit = self._clock.now() - _SILENCE_MS
         for peer in list(self._open):
             connection = peer.connection
-            if connection is not None and connection.last_heard < limit:
+            if connection is not None and connection.last_received_at < limit:
                 log_event(Event.CONNECTION_SILENT, peer=peer.peer_id)
                 connection.abort()
 
@@ -199,7 +199,7 @@
         now: float,
         may_judge: bool,
     ) -> None:
-        if may_judge and now - connection.last_heard > _SILENCE_MS:
+        if may_judge and now - connection.last_received_at > _SILENCE_MS:
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             connection.abort()
         elif self.owner.is_pinging and now - self.greeted_at >= _PING_MS:
--- a/hyssopring/protocol/frames.py
+++ b/hyssopring/protocol/frames.py
@@ -45,7 +45,7 @@
     and that it closed.
 
     Attributes:
-        last_heard: Time in ms at which bytes last arrived.
+        last_received_at: Time in ms at which bytes last arrived.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -79,18 +79,18 @@
         self._on_error = on_error
         self._on_close = on_close
         self._is_broken = False
-        self.last_heard = clock.now()
+        self.last_received_at = clock.now()
         self._traffic = traffic or Traffic()
 
     def connectionMade(self) -> None:
         """Disable Nagle's algorithm and call ``on_open``."""
         self.transport.setTcpNoDelay(True)
-        self.last_heard = self._clock.now()
+        self.last_received_at = self._clock.now()
         self._on_open(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: WPS110
         """Record the time and the number of bytes, then split frames."""
-        self.last_heard = self._clock.now()
+        self.last_received_at = self._clock.now()
         self._traffic.bytes_received += len(data)
         super().dataReceived(data)
 
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -170,7 +170,7 @@
 class DeafConnection:
     """A connection on which nothing is heard."""
 
-    last_heard = 0
+    last_received_at = 0
 
     def send(self, message):
         """Nobody reads it."""
