--- a/tests/test_fuzz_configuration.py
+++ b/tests/test_fuzz_configuration.py
@@ -1,4 +1,4 @@
-"""Operators may submit anything; versions never step back."""
+"""Arbitrary changes and updates of the configuration."""
 
 import json
 
@@ -20,9 +20,11 @@
     ),
     st.text(max_size=12),
 )
-NUMBERS = st.one_of(st.integers(), st.floats(), st.text(max_size=5), st.none())
+ANY_NUMBERS = st.one_of(
+    st.integers(), st.floats(), st.text(max_size=5), st.none()
+)
 SIZES = st.dictionaries(
-    st.sampled_from(('cores', 'memory_gb', 'accelerators', 'x')), NUMBERS
+    st.sampled_from(('cores', 'memory_gb', 'accelerators', 'x')), ANY_NUMBERS
 )
 DOCUMENTS = st.one_of(
     st.text(max_size=30),
@@ -31,9 +33,9 @@
         optional={
             'kind': st.sampled_from(('service', 'batch', 'keeper', 1)),
             'size': SIZES,
-            'urgency': NUMBERS,
-            'keepers': NUMBERS,
-            'cores': NUMBERS,
+            'urgency': ANY_NUMBERS,
+            'keepers': ANY_NUMBERS,
+            'cores': ANY_NUMBERS,
             'zones': st.lists(st.text(max_size=3), max_size=2),
         },
     ).map(json.dumps),
@@ -44,21 +46,21 @@
 @given(
     changes=st.lists(st.tuples(KEYS, st.integers(-1, 3), DOCUMENTS), max_size=4)
 )
-def test_any_change_is_accepted_or_refused_by_kind(changes):
+def test_any_change_is_accepted_or_fails_with_a_listed_kind(changes):
     deployment = VirtualDeployment(entries=1, agents=0)
-    keeper = deployment.entry().core.configuration_keeper
-    answers = []
+    manager = deployment.entry().core.configuration_keeper
+    results = []
     for key, expected, document in changes:
-        keeper.change(
-            ConfigurationChange(key, expected, document), answers.append
+        manager.change(
+            ConfigurationChange(key, expected, document), results.append
         )
     deployment.run(2000)
-    assert len(answers) == len(changes)
-    for answer in answers:
-        if answer.is_err():
-            kind = answer.unwrap_err().kind
+    assert len(results) == len(changes)
+    for result in results:
+        if result.is_err():
+            kind = result.unwrap_err().kind
             assert kind in {ErrorKind.INVALID, ErrorKind.CONFLICT}
-    # Whatever was accepted can be used: no policy fails to resolve.
+    # Every accepted item must be usable: all policies resolve.
     tuple(deployment.entry().core.configuration.policies())
 
 
@@ -82,9 +84,9 @@
         max_size=8,
     )
 )
-def test_no_order_of_updates_steps_back(updates):
+def test_version_never_decreases_for_any_order_of_updates(updates):
     state = ConfigurationState()
     for update in updates:
-        before = state.version
+        previous_version = state.version
         state.apply(update)
-        assert state.version >= before
+        assert state.version >= previous_version
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a process reports of itself."""
+"""Gauges of the resource usage of a process."""
 
 from hyssopring.metrics import Metrics, gauge_process
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,7 +1,7 @@
-"""A role's start: what it imports, and when garbage is collected.
+"""Imports and garbage collection at the start of a role.
 
-After a loss of power all processes start at once, and on weak VMs the imports
-are most of the time until work goes on.
+After a power failure all processes start at once. On slow VMs imports take
+most of the time until work continues.
 """
 
 import gc
@@ -15,8 +15,8 @@
 from hyssopring.platform import roles
 from standins.programs import ROOT
 
-# Of other roles, of the command line, of experiments and of tests.
-NEEDLESS = {
+# Modules of other roles, the command line, experiments and tests.
+UNNEEDED_MODULES = {
     'fire',
     'hypothesis',
     'hyssopring.agent',
@@ -42,22 +42,24 @@
 @pytest.mark.parametrize(
     ('role', 'other'), [('entry', 'agent'), ('agent', 'entry')]
 )
-def test_a_role_imports_nothing_that_it_does_not_need(role, other):
+def test_role_imports_no_unneeded_modules(role, other):
     code = (
         'import sys, hyssopring.platform.roles, '
         f'hyssopring.platform.{role}_process as _role; print(*sys.modules)'
     )
     packages = os.pathsep.join((str(ROOT), sysconfig.get_path('purelib')))
-    run = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-S', '-c', code],
         env={**os.environ, 'PYTHONPATH': packages},
         capture_output=True,
         text=True,
         check=True,
     )
-    imported = set(run.stdout.split())
-    needless = NEEDLESS | {f'hyssopring.platform.{other}_process'}
-    assert not imported & needless
+    imported = set(completed.stdout.split())
+    unneeded_modules = UNNEEDED_MODULES | {
+        f'hyssopring.platform.{other}_process'
+    }
+    assert not imported & unneeded_modules
 
 
 def test_garbage_is_collected_once_a_role_has_started():
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store's queue: merging, lost answers, outages, slowness."""
+"""The store queue: merging, lost responses, outages, slow responses."""
 
 import random
 
@@ -13,28 +13,31 @@
 from standins.virtual import Loop
 
 
-class TableLink:
-    """A table so many milliseconds away, that can be down or lose answers."""
+class TableTransport:
+    """Transport to a simulated table with delay, outages and lost responses."""
 
     def __init__(self, delay_ms=3.0, times=StoreLimits()):
         self.loop = Loop()
         self.table = Table()
         self.delay_ms = delay_ms
         self.is_down = False
-        self.lose = 0
-        self.sent = []
+        self.responses_to_lose = 0
+        self.sent_at_ms = []
         self.queue = StoreQueue(self.loop.clock, self, random.Random(1), times)
 
     def call_later(self, delay_ms, action):
         self.loop.later(delay_ms, action)
 
     def send_commit(self, group, timeout_ms, done):
-        puts = [[put.key, put.document, own] for put, own in group.puts]
+        puts = [
+            [put.key, put.document, operation_id]
+            for put, operation_id in group.puts
+        ]
         checks = [(check.key, check.version) for check in group.checks]
         self._send(
             lambda: self.table.commit('', checks, puts),
             timeout_ms,
-            lambda answer: done(answer.map(_outcome)),
+            lambda response: done(response.map(_outcome)),
         )
 
     def send_read(self, prefix, timeout_ms, done):
@@ -44,126 +47,136 @@
             done,
         )
 
-    def _send(self, work, timeout_ms, done):
-        self.sent.append(self.loop.now)
-        failed = Err(Failure(ErrorKind.STORE_UNAVAILABLE, 'no answer'))
+    def _send(self, operation, timeout_ms, done):
+        self.sent_at_ms.append(self.loop.now)
+        failure = Err(Failure(ErrorKind.STORE_UNAVAILABLE, 'no answer'))
         if self.is_down:
-            self.loop.later(timeout_ms, done, failed)
+            self.loop.later(timeout_ms, done, failure)
         elif self.delay_ms > timeout_ms:
-            self.loop.later(self.delay_ms, work)
-            self.loop.later(timeout_ms, done, failed)
+            self.loop.later(self.delay_ms, operation)
+            self.loop.later(timeout_ms, done, failure)
         else:
-            self.loop.later(self.delay_ms, self._answer, work, done, failed)
-
-    def _answer(self, work, done, failed):
-        answer = work()
-        if self.lose:
-            self.lose -= 1
-            self.loop.later(2000, done, failed)
+            self.loop.later(
+                self.delay_ms, self._respond, operation, done, failure
+            )
+
+    def _respond(self, operation, done, failure):
+        response = operation()
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
+            self.loop.later(2000, done, failure)
         else:
-            done(Ok(answer))
+            done(Ok(response))
 
-    def put(self, key, version=0, document=None, answers=None):
-        """Commit one checked row; return the list that gets the answer."""
-        answers = [] if answers is None else answers
+    def put(self, key, version=0, document=None, responses=None):
+        """Commit one checked row; return the list that gets the response."""
+        responses = [] if responses is None else responses
         transaction = Transaction(
             (Check(key, version),), (Put(key, document or {'n': key}),)
         )
-        self.queue.commit(transaction, answers.append)
-        return answers
+        self.queue.commit(transaction, responses.append)
+        return responses
 
 
-def _outcome(answer):
-    if 'versions' in answer:
-        return Committed(answer['versions'])
-    return Conflict(tuple(Row(*row) for row in answer['rows']))
+def _outcome(response):
+    if 'versions' in response:
+        return Committed(response['versions'])
+    return Conflict(tuple(Row(*row) for row in response['rows']))
 
 
-def test_callers_are_merged_and_only_the_culprit_hears_of_a_conflict():
-    link = TableLink()
-    link.table.commit('other', [], [('jobs/7', {})])
-    answers = [link.put(f'jobs/{number}') for number in range(50)]
-    link.loop.run(1000)
-    outcomes = [answer[0].unwrap() for answer in answers]
+def test_only_the_conflicting_transaction_of_a_group_fails():
+    transport = TableTransport()
+    transport.table.commit('other', [], [('jobs/7', {})])
+    responses = [transport.put(f'jobs/{number}') for number in range(50)]
+    transport.loop.run(1000)
+    outcomes = [response[0].unwrap() for response in responses]
     assert [
         number
         for number, outcome in enumerate(outcomes)
         if isinstance(outcome, Conflict)
     ] == [7]
     assert outcomes[7].rows[0].operation == 'other'
-    assert link.queue.commits <= 10
-    assert len(link.table.rows_by_key) == 50
-
-
-def test_group_whose_answer_was_lost_is_known_to_have_taken_effect():
-    """An operator is told of a conflict with the job that she has just
-    submitted: the table committed it, the answer was lost, and the repeat
-    met the first copy's rows."""
-    link = TableLink()
-    link.lose = 1
-    answers = [link.put(f'jobs/{number}') for number in range(9)]
-    link.loop.run(10_000)
-    assert all(answer[0].unwrap().version_by_key for answer in answers)
-    assert {row[1] for row in link.table.rows_by_key.values()} == {1}
-
-
-def test_lost_answer_and_a_rival_since_is_a_conflict():
-    """The effect took place and was then written over by another."""
-    link = TableLink()
-    link.lose = 1
-    answers = [link.put('shards/1'), link.put('jobs/1')]
-    link.loop.run(100)
-    link.table.commit('rival', [], [('shards/1', {})])
-    link.loop.run(10_000)
-    assert isinstance(answers[0][0].unwrap(), Conflict)
-    assert isinstance(answers[1][0].unwrap(), Committed)
-
-
-def test_a_renewal_does_not_wait_behind_a_thousand_chunks():
-    """An entry loses its shards because it has too much to write."""
-    link = TableLink()
+    assert transport.queue.commits <= 10
+    assert len(transport.table.rows_by_key) == 50
+
+
+def test_group_is_committed_once_when_its_response_is_lost():
+    """A submission must not conflict with itself.
+
+    The table commits the group, its response is lost, and the retry finds the
+    rows of the first attempt.
+    """
+    transport = TableTransport()
+    transport.responses_to_lose = 1
+    responses = [transport.put(f'jobs/{number}') for number in range(9)]
+    transport.loop.run(10_000)
+    assert all(response[0].unwrap().version_by_key for response in responses)
+    assert {row[1] for row in transport.table.rows_by_key.values()} == {1}
+
+
+def test_overwritten_row_of_a_lost_response_is_a_conflict():
+    """The transaction was committed and then overwritten by another one."""
+    transport = TableTransport()
+    transport.responses_to_lose = 1
+    responses = [transport.put('shards/1'), transport.put('jobs/1')]
+    transport.loop.run(100)
+    transport.table.commit('rival', [], [('shards/1', {})])
+    transport.loop.run(10_000)
+    assert isinstance(responses[0][0].unwrap(), Conflict)
+    assert isinstance(responses[1][0].unwrap(), Committed)
+
+
+def test_renewal_is_not_queued_behind_a_thousand_chunks():
+    """Otherwise an entry with many writes loses the leases of its shards."""
+    transport = TableTransport()
     for number in range(1000):
-        link.put(f'chunks/{number}')
-    renewal = link.put('entries/a')
-    link.loop.run(100)
+        transport.put(f'chunks/{number}')
+    renewal = transport.put('entries/a')
+    transport.loop.run(100)
     assert renewal
 
 
-def test_outage_brings_no_storm_and_no_silence():
-    """The table comes back and falls over again under everybody's retries."""
-    link = TableLink()
-    link.is_down = True
-    answers = [link.put(f'jobs/{number}') for number in range(2500)]
-    link.loop.run(60_000)
-    errors = [answer[0].unwrap_err().kind for answer in answers]
+def test_outage_causes_no_retry_storm():
+    """Retries must not overload a table that has just recovered.
+
+    Calls fail during the outage and succeed after it.
+    """
+    transport = TableTransport()
+    transport.is_down = True
+    responses = [transport.put(f'jobs/{number}') for number in range(2500)]
+    transport.loop.run(60_000)
+    errors = [response[0].unwrap_err().kind for response in responses]
     assert errors.count(ErrorKind.STORE_UNAVAILABLE) >= 2000
     assert errors.count(ErrorKind.OUTCOME_UNKNOWN) <= 500
-    assert len(link.sent) < 30
-    link.is_down = False
-    before = len(link.sent)
-    late = [link.put(f'late/{number}') for number in range(500)]
-    link.loop.run(2000)
-    assert all(answer[0].is_ok() for answer in late)
-    assert len(link.sent) - before < 30
+    assert len(transport.sent_at_ms) < 30
+    transport.is_down = False
+    sent_before = len(transport.sent_at_ms)
+    later_responses = [transport.put(f'late/{number}') for number in range(500)]
+    transport.loop.run(2000)
+    assert all(response[0].is_ok() for response in later_responses)
+    assert len(transport.sent_at_ms) - sent_before < 30
 
 
 @pytest.mark.parametrize('delay_ms', [1000.0, 3000.0, 4500.0])
-def test_slow_table_is_waited_for(delay_ms):
-    """The table answers after seconds; its answers must still be heard, or
-    every entry loses every lease although the table works."""
-    link = TableLink(delay_ms)
-    link.put('entries/a')
-    link.loop.run(20_000)
-    answers = link.put('entries/b')
-    link.loop.run(10_000)
-    assert answers[0].is_ok()
-
-
-def test_reads_that_wait_share_one_call():
-    link = TableLink(100.0, StoreLimits(max_in_flight=1))
-    answers = []
-    link.queue.read('a/', answers.append)
+def test_responses_of_a_slow_table_are_received(delay_ms):
+    """The table responds after seconds.
+
+    If the timeout did not grow, entries would lose all leases although the
+    table works.
+    """
+    transport = TableTransport(delay_ms)
+    transport.put('entries/a')
+    transport.loop.run(20_000)
+    responses = transport.put('entries/b')
+    transport.loop.run(10_000)
+    assert responses[0].is_ok()
+
+
+def test_pending_reads_of_a_prefix_are_merged():
+    transport = TableTransport(100.0, StoreLimits(max_in_flight=1))
+    responses = []
+    transport.queue.read('a/', responses.append)
     for _ in range(20):
-        link.queue.read('b/', answers.append)
-    link.loop.run(1000)
-    assert (len(answers), link.queue.reads) == (21, 2)
+        transport.queue.read('b/', responses.append)
+    transport.loop.run(1000)
+    assert (len(responses), transport.queue.reads) == (21, 2)
--- a/tests/test_ticker.py
+++ b/tests/test_ticker.py
@@ -1,4 +1,4 @@
-"""The timer that runs only while something waits."""
+"""The timer that runs only while there is work."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -6,25 +6,27 @@
 from hyssopring.ticker import Ticker
 
 
-def test_idle_ticker_sets_no_timer_and_wakes_for_work():
-    reactor, waiting, ran = Clock(), ['call'], []
-    ticker = Ticker(reactor, 0.02, lambda: ran.append(1), lambda: bool(waiting))
+def test_ticker_runs_only_while_there_is_work():
+    reactor, pending, calls = Clock(), ['call'], []
+    ticker = Ticker(
+        reactor, 0.02, lambda: calls.append(1), lambda: bool(pending)
+    )
     assert not reactor.getDelayedCalls()
     ticker.wake()
     ticker.wake()
     reactor.advance(0.02)
     reactor.advance(0.02)
-    assert len(ran) == 2
-    waiting.clear()
+    assert len(calls) == 2
+    pending.clear()
     reactor.advance(0.02)
-    assert len(ran) == 3 and not reactor.getDelayedCalls()
+    assert len(calls) == 3 and not reactor.getDelayedCalls()
 
 
-def test_ticker_goes_on_after_an_error():
-    """A caller would wait past its deadline for an answer that never comes.
+def test_ticker_continues_after_an_error():
+    """One tick fails on a bad value.
 
-    One tick fails on a bad value; if the timer were not armed again, no later
-    deadline would ever take effect.
+    If the timer stopped, no later deadline would be enforced and callers would
+    wait for a response that never arrives.
     """
     reactor = Clock()
     ticker = Ticker(reactor, 0.02, lambda: 1 / 0, lambda: True)
--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -1,4 +1,4 @@
-"""Time limits of an HTTP call whose answer comes slowly, or not to its end."""
+"""Timeouts of HTTP calls with slow or incomplete responses."""
 
 from types import SimpleNamespace
 
@@ -16,11 +16,11 @@
     fetch,
 )
 
-SILENCE_MS = 1200
+SILENCE_TIMEOUT_MS = 1200
 
 
 class Response:
-    """An answer whose body a test sends piece by piece."""
+    """A response whose body a test sends in chunks."""
 
     code = 200
     headers = SimpleNamespace(getAllRawHeaders=tuple)
@@ -33,8 +33,8 @@
         self._protocol = protocol
         protocol.transport = SimpleNamespace(abortConnection=self._abort)
 
-    def send(self, piece):
-        self._protocol.dataReceived(piece)
+    def send(self, chunk):
+        self._protocol.dataReceived(chunk)
 
     def end(self, reason):
         self._protocol.connectionLost(Failure(reason))
@@ -49,48 +49,52 @@
     return Clock()
 
 
-def begun(clock, **limits):
-    """A call whose answer has begun, its response, and what came of it."""
-    requesting, response, outcomes = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: requesting)
-    calling = fetch(clock, agent, 'GET', 'http://store:1/', **limits)
-    calling.addBoth(outcomes.append)
-    requesting.callback(response)
-    return calling, response, outcomes
+def start_response(clock, **limits):
+    """Return a call with a started response, the response and outcomes."""
+    request, response, outcomes = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request)
+    call = fetch(clock, agent, 'GET', 'http://store:1/', **limits)
+    call.addBoth(outcomes.append)
+    request.callback(response)
+    return call, response, outcomes
 
 
-def dribble(clock, response, pieces, pause_s):
-    for _piece in range(pieces):
-        clock.advance(pause_s)
+def send_slowly(clock, response, count, interval_s):
+    for _index in range(count):
+        clock.advance(interval_s)
         response.send(b'x' * 100)
 
 
-def test_an_answer_that_keeps_coming_is_waited_for(clock):
-    """A large configuration needs 4 s on a narrow link.
+def test_slow_response_without_pauses_is_received(clock):
+    """A large configuration takes 4 s on a narrow link.
 
-    It was thrown away at the time limit of the whole call and begun anew,
-    again and again.
+    A time limit for the complete response would discard and restart it
+    repeatedly.
     """
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 10, 0.4)
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
+    send_slowly(clock, response, 10, 0.4)
     response.end(ResponseDone())
     assert [len(answer.body) for answer in outcomes] == [1000]
 
 
-def test_an_answer_that_stops_coming_is_given_up(clock):
-    """A connection goes silent in the middle of an answer, without an end."""
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 2, 0.4)
-    clock.advance(SILENCE_MS / 1000)
+def test_response_that_stalls_times_out(clock):
+    """A connection becomes silent in the middle of a response."""
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
+    send_slowly(clock, response, 2, 0.4)
+    clock.advance(SILENCE_TIMEOUT_MS / 1000)
     assert response.is_aborted
     assert outcomes[0].check(ResponseTimeoutError)
     assert '200 bytes' in outcomes[0].getErrorMessage()
 
 
-def test_the_first_byte_is_waited_for_as_long_as_the_whole_call(clock):
-    """A call for changes begins to answer once there is one."""
-    limits = {'timeout_ms': 2000, 'silence_ms': SILENCE_MS}
-    _calling, response, outcomes = begun(clock, **limits)
+def test_first_byte_has_the_whole_timeout(clock):
+    """The response to a call for changes starts with the next change."""
+    limits = {'timeout_ms': 2000, 'silence_ms': SILENCE_TIMEOUT_MS}
+    _call, response, outcomes = start_response(clock, **limits)
     clock.advance(1.9)
     assert not outcomes
     clock.advance(0.1)
@@ -98,51 +102,55 @@
     assert response.is_aborted
 
 
-def test_without_a_limit_of_silence_the_whole_answer_is_timed(clock):
-    _calling, response, outcomes = begun(clock, timeout_ms=2000)
-    dribble(clock, response, 4, 0.4)
+def test_without_silence_timeout_the_whole_response_is_limited(clock):
+    _call, response, outcomes = start_response(clock, timeout_ms=2000)
+    send_slowly(clock, response, 4, 0.4)
     clock.advance(0.4)
     assert outcomes[0].check(ResponseTimeoutError)
 
 
-def test_a_call_that_is_given_up_drops_its_connection(clock):
-    """What is still on its way would fill a narrow link."""
-    calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 1, 0.1)
-    calling.cancel()
+def test_cancelled_call_drops_its_connection(clock):
+    """Data that is still in transit would fill a narrow link."""
+    call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
+    send_slowly(clock, response, 1, 0.1)
+    call.cancel()
     assert response.is_aborted
     assert outcomes[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
-def test_a_call_that_is_given_up_before_its_answer_ends_at_once(clock):
+def test_call_cancelled_before_its_response_ends_at_once(clock):
     agent = SimpleNamespace(request=lambda *_request: Deferred())
     outcomes = []
-    calling = fetch(clock, agent, 'GET', 'http://store:1/')
-    calling.addBoth(outcomes.append)
-    calling.cancel()
+    call = fetch(clock, agent, 'GET', 'http://store:1/')
+    call.addBoth(outcomes.append)
+    call.cancel()
     assert outcomes[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
-def test_an_answer_that_is_cut_is_not_taken_for_whole(clock):
-    _calling, response, outcomes = begun(clock, silence_ms=SILENCE_MS)
-    dribble(clock, response, 1, 0.1)
+def test_truncated_response_fails(clock):
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
+    send_slowly(clock, response, 1, 0.1)
     response.end(ConnectionAborted())
     assert outcomes[0].check(TruncatedResponseError)
     assert not clock.getDelayedCalls()
 
 
-def test_the_table_service_may_send_its_rows_slowly(clock, monkeypatch):
-    """All rows of a prefix need longer than the call's time limit."""
-    requesting, response, rows = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: requesting)
+def test_table_service_may_send_rows_slowly(clock, monkeypatch):
+    """All rows of a prefix take longer than the timeout of the call."""
+    request, response, rows = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request)
     monkeypatch.setattr(client, 'pooled_agent', lambda *_how: agent)
     transport = client.HttpTransport(clock, 'http://table:1')
     transport.send_read('jobs/', 1000, rows.append)
-    requesting.callback(response)
-    for piece in (b'{"rows": [', b'["jobs/a", 1, "own", {}', b']]}'):
+    request.callback(response)
+    for chunk in (b'{"rows": [', b'["jobs/a", 1, "own", {}', b']]}'):
         clock.advance(0.8)
-        response.send(piece)
+        response.send(chunk)
     response.end(ResponseDone())
     assert [row.key for row in rows[0].unwrap()] == ['jobs/a']
