--- a/hyssopring/clock.py
+++ b/hyssopring/clock.py
@@ -36,9 +36,9 @@
 class ManualClock:
     """A clock that is advanced manually, for tests and simulations."""
 
-    def __init__(self, start: float = 0) -> None:
-        """Initialize the clock at ``start`` milliseconds."""
-        self._now_ms = float(start)
+    def __init__(self, start_ms: float = 0) -> None:
+        """Initialize the clock at ``start_ms`` milliseconds."""
+        self._now_ms = float(start_ms)
 
     def now(self) -> float:
         """Return the current virtual time in milliseconds."""
--- a/hyssopring/configuration/rows.py
+++ b/hyssopring/configuration/rows.py
@@ -61,8 +61,8 @@
     """Return the complete state from a consistent read of all item rows.
 
     Its version is that of the newest item: the item row of a version remains
-    until a later version changes the item, and tombstones remain much longer
-    than they are the newest.
+    until a later version changes the item, and tombstones are removed only
+    long after newer versions exist.
     """
     items = tuple(item_of(row) for row in rows)
     newest_version = max((item.version for item in items), default=0)
--- a/hyssopring/configuration/state.py
+++ b/hyssopring/configuration/state.py
@@ -128,13 +128,13 @@
 
     def item(self, key: str) -> ConfigurationItem | None:
         """Return an item, None if it is missing or withdrawn."""
-        found = self._item_by_key.get(key)
-        return found if found is not None and found.document else None
+        item = self._item_by_key.get(key)
+        return item if item is not None and item.document else None
 
     def item_version(self, key: str) -> int:
         """Return the version of an item, 0 if missing or withdrawn."""
-        found = self.item(key)
-        return 0 if found is None else found.version
+        item = self.item(key)
+        return 0 if item is None else item.version
 
     def apply(self, update: ConfigurationUpdate) -> bool:
         """Apply an update.
@@ -187,9 +187,9 @@
                 for key in sorted(self._item_by_key)
                 if key.startswith('parameters/')
             )
-            found = [self.policy(service_name) for service_name in services]
+            policies = [self.policy(service_name) for service_name in services]
             self._policies = tuple(
-                policy for policy in found if policy is not None
+                policy for policy in policies if policy is not None
             )
         return self._policies
 
--- a/hyssopring/invariants/checks.py
+++ b/hyssopring/invariants/checks.py
@@ -23,12 +23,12 @@
         """Initialize the checks; ``metrics`` counts them and violations."""
         self._metrics = metrics
 
-    def check(self, holds: bool, promise: str, subject: object) -> bool:
+    def check(self, holds: bool, invariant: str, subject: object) -> bool:
         """Return whether an invariant holds; count and log a violation.
 
         Args:
             holds: Whether the invariant holds.
-            promise: The invariant as a sentence, for the log.
+            invariant: The invariant as a sentence, for the log.
             subject: What the check is about, for the log.
 
         Raises:
@@ -38,7 +38,7 @@
         if holds:
             return True
         self._metrics.count('invariant_violations_total')
-        log_event(Event.INVARIANT_VIOLATED, promise=promise, subject=subject)
+        log_event(Event.INVARIANT_VIOLATED, promise=invariant, subject=subject)
         if self.is_strict:
-            raise InvariantError(f'{promise}: {subject}')
+            raise InvariantError(f'{invariant}: {subject}')
         return False
--- a/hyssopring/lifecycle.py
+++ b/hyssopring/lifecycle.py
@@ -23,11 +23,11 @@
         self._role = role
         self._loops: list[LoopingCall] = []
 
-    def every(self, seconds: float, action: Callable[[], Any]) -> None:
+    def every(self, interval_s: float, action: Callable[[], Any]) -> None:
         """Call ``action`` periodically, first after one interval."""
         loop = LoopingCall(action)
         loop.clock = self._reactor
-        loop.start(seconds, now=False)
+        loop.start(interval_s, now=False)
         self._loops.append(loop)
 
     def drain(self, is_idle: Callable[[], bool], drain_ms: float) -> None:
--- a/hyssopring/protocol/structs.py
+++ b/hyssopring/protocol/structs.py
@@ -3,8 +3,8 @@
 The Thrift library reads and writes a class decorated with ``@struct`` like a
 generated one: field ids count from 1 in the order of definition, and all
 fields are required. New fields must be added at the end. The messages about
-jobs are defined so, as there is no Thrift compiler for them; the others are
-in ``inner.thrift``.
+jobs are defined like this because no Thrift compiler is available; the others
+are in ``inner.thrift``.
 """
 
 import dataclasses
--- a/hyssopring/store/queue.py
+++ b/hyssopring/store/queue.py
@@ -48,8 +48,9 @@
         max_timeout_ms: Largest timeout of one request; the timeout grows
             while the table is slow, so that slow responses are received.
         call_timeout_ms: Timeout of a call, with all retries.
-        probe_min_ms: Backoff after the first failure.
-        probe_max_ms: Largest backoff.
+        probe_min_ms: Largest backoff after the first failure; jitter
+            reduces it by up to half.
+        probe_max_ms: Largest backoff after any number of failures.
         max_pending: Largest number of unfinished calls.
         max_in_flight: Largest number of requests in flight.
         commits_per_s: Largest rate of transactions.
@@ -118,7 +119,7 @@
         self._transport = transport
         self._rng = rng
         self._limits = limits
-        self._lane_by_kind: OrderedDict[str, deque[PendingCommit]] = (
+        self._queue_by_kind: OrderedDict[str, deque[PendingCommit]] = (
             OrderedDict()
         )
         self._read_by_prefix: OrderedDict[str, _PendingRead] = OrderedDict()
@@ -147,8 +148,8 @@
             return
         kind = transaction.puts[0].key.partition('/')[0]
         deadline = self._clock.now() + self._limits.call_timeout_ms
-        lane = self._lane_by_kind.setdefault(kind, deque())
-        lane.append(PendingCommit(transaction, done, deadline))
+        queue = self._queue_by_kind.setdefault(kind, deque())
+        queue.append(PendingCommit(transaction, done, deadline))
         self._pending += 1
         self._dispatch()
 
@@ -198,7 +199,7 @@
         return True
 
     def _can_commit(self) -> bool:
-        if not self._retries and not any(self._lane_by_kind.values()):
+        if not self._retries and not any(self._queue_by_kind.values()):
             return False
         wait_ms = self._next_commit_at - self._clock.now()
         if wait_ms > 0:
@@ -206,19 +207,21 @@
         return wait_ms <= 0
 
     def _build_group(self) -> Group:
-        """Remove transactions that can be merged from the lanes, in turn."""
+        """Remove transactions that can be merged from the queues in turn."""
         group = Group(self._limits.max_merged)
-        lanes = [lane for lane in self._lane_by_kind.values() if lane]
-        while lanes:
-            lanes = [lane for lane in lanes if lane and group.add(lane[0])]
-            for lane in lanes:
-                lane.popleft()
-        for kind, lane in list(self._lane_by_kind.items()):
-            if not lane:
-                self._lane_by_kind.pop(kind)
-        if self._lane_by_kind:
+        queues = [queue for queue in self._queue_by_kind.values() if queue]
+        while queues:
+            queues = [
+                queue for queue in queues if queue and group.add(queue[0])
+            ]
+            for queue in queues:
+                queue.popleft()
+        for kind, queue in list(self._queue_by_kind.items()):
+            if not queue:
+                self._queue_by_kind.pop(kind)
+        if self._queue_by_kind:
             # The next group starts with another kind of row.
-            self._lane_by_kind.move_to_end(next(iter(self._lane_by_kind)))
+            self._queue_by_kind.move_to_end(next(iter(self._queue_by_kind)))
         return group
 
     def _send_commit(self, group: Group) -> None:
@@ -257,7 +260,7 @@
         group_outcome = group.split_outcome(response.unwrap())
         for pending in reversed(group_outcome.retries):
             kind = pending.transaction.puts[0].key.partition('/')[0]
-            self._lane_by_kind.setdefault(kind, deque()).appendleft(pending)
+            self._queue_by_kind.setdefault(kind, deque()).appendleft(pending)
         for member in group.members:
             operation = member.transaction.operation
             outcome = group_outcome.outcome_by_operation.get(operation)
@@ -328,10 +331,10 @@
 
     def _fail_expired(self) -> None:
         now_ms = self._clock.now()
-        for lane in self._lane_by_kind.values():
-            while lane and lane[0].deadline <= now_ms:
+        for queue in self._queue_by_kind.values():
+            while queue and queue[0].deadline <= now_ms:
                 self._fail(
-                    lane.popleft(),
+                    queue.popleft(),
                     _not_sent('the table service is unreachable'),
                 )
         expired = [group for group in self._retries if group.deadline <= now_ms]
