--- a/hyssopring/configuration/models.py
+++ b/hyssopring/configuration/models.py
@@ -33,7 +33,7 @@
 
 
 class SizeModel(_StrictModel):
-    """What one task or one backend server needs."""
+    """Resources of one task or one backend server."""
 
     cores: Annotated[float, Field(gt=0, le=_MAX_CORES)]
     memory_gb: Annotated[float, Field(gt=0, le=_MAX_MEMORY_GB)]
