--- a/hyssopring/agent/http_clients.py
+++ b/hyssopring/agent/http_clients.py
@@ -19,8 +19,8 @@
 )
 from hyssopring.tasks import StopMode, TaskPhase
 from hyssopring.web_client import (
-    FetchedAnswer,
-    TruncatedAnswer,
+    FetchedResponse,
+    TruncatedResponseError,
     fetch,
     pooled_agent,
 )
@@ -70,7 +70,9 @@
         deferred.addCallback(done)
 
 
-def _to_response(request: CallRequest, response: FetchedAnswer) -> CallResponse:
+def _to_response(
+    request: CallRequest, response: FetchedResponse
+) -> CallResponse:
     return CallResponse(
         request.request_id,
         CallOutcome.ANSWERED.value,
@@ -85,7 +87,7 @@
     # it was sent.
     if reason.check(ConnectionRefusedError, ConnectError):
         outcome, kind = CallOutcome.NOT_RUN, ErrorKind.NO_BACKEND
-    elif reason.check(TruncatedAnswer):
+    elif reason.check(TruncatedResponseError):
         outcome, kind = CallOutcome.FAILED, ErrorKind.TRUNCATED
     else:
         outcome, kind = CallOutcome.FAILED, ErrorKind.BACKEND_FAILED
@@ -189,7 +191,7 @@
         self,
         path: str,
         document: dict[str, Any],
-        done: Callable[[FetchedAnswer | None], None],
+        done: Callable[[FetchedResponse | None], None],
     ) -> None:
         deferred = fetch(
             self._reactor,
@@ -202,20 +204,20 @@
         deferred.addCallbacks(done, lambda _reason: done(None))
 
 
-def _is_started(response: FetchedAnswer | None) -> bool | None:
+def _is_started(response: FetchedResponse | None) -> bool | None:
     if response is None or response.status not in {_OK, _CONFLICT}:
         return None
     return response.status == _OK
 
 
-def _to_stop_response(response: FetchedAnswer | None) -> StopResponse | None:
+def _to_stop_response(response: FetchedResponse | None) -> StopResponse | None:
     if response is None or response.status != _OK:
         return None
     document = json.loads(response.body)
     return StopResponse(TaskPhase(document['phase']), document['checkpoint'])
 
 
-def _to_listing(response: FetchedAnswer) -> WorkerListing | None:
+def _to_listing(response: FetchedResponse) -> WorkerListing | None:
     if response.status != _OK:
         return None
     document = json.loads(response.body)
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -71,7 +71,7 @@
         if self.connection is None:
             return
         timeout_ms = self.owner.core.sessions.silence_timeout_ms(self.entry_id)
-        if now_ms - self.connection.last_heard > timeout_ms:
+        if now_ms - self.connection.last_received_at > timeout_ms:
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             self.connection.abort()
 
--- a/hyssopring/jobs/links.py
+++ b/hyssopring/jobs/links.py
@@ -128,7 +128,10 @@
         oldest_ms = self._clock.now() - _SILENCE_TIMEOUT_MS
         for peer in list(self._peers):
             connection = peer.connection
-            if connection is not None and connection.last_heard < oldest_ms:
+            if (
+                connection is not None
+                and connection.last_received_at < oldest_ms
+            ):
                 log_event(Event.CONNECTION_SILENT, peer=peer.peer_id)
                 connection.abort()
 
@@ -209,7 +212,7 @@
     ) -> None:
         if (
             can_check_silence
-            and now_ms - connection.last_heard > _SILENCE_TIMEOUT_MS
+            and now_ms - connection.last_received_at > _SILENCE_TIMEOUT_MS
         ):
             log_event(Event.CONNECTION_SILENT, entry=self.address)
             connection.abort()
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -172,7 +172,7 @@
 class DeafConnection:
     """A connection that receives nothing and drops what is sent."""
 
-    last_heard = 0
+    last_received_at = 0
 
     def send(self, message):
         """Drop a message."""
--- a/tests/test_web_client.py
+++ b/tests/test_web_client.py
@@ -1,4 +1,4 @@
-"""Tests of the timeouts of an HTTP call with a slow or truncated response."""
+"""Timeouts of HTTP calls with slow or incomplete responses."""
 
 from types import SimpleNamespace
 
@@ -10,9 +10,13 @@
 from twisted.web.client import ResponseDone
 
 from hyssopring.store import client
-from hyssopring.web_client import SlowAnswer, TruncatedAnswer, fetch
+from hyssopring.web_client import (
+    ResponseTimeoutError,
+    TruncatedResponseError,
+    fetch,
+)
 
-SILENCE_MS = 1200
+SILENCE_TIMEOUT_MS = 1200
 
 
 class Response:
@@ -45,100 +49,108 @@
     return Clock()
 
 
-def start_fetch(clock, **limits):
-    """Return a call, its response, which has begun, and its results."""
-    request_deferred, response, results = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: request_deferred)
+def start_response(clock, **limits):
+    """Return a call with a started response, the response and outcomes."""
+    request, response, outcomes = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request)
     call = fetch(clock, agent, 'GET', 'http://store:1/', **limits)
-    call.addBoth(results.append)
-    request_deferred.callback(response)
-    return call, response, results
+    call.addBoth(outcomes.append)
+    request.callback(response)
+    return call, response, outcomes
 
 
-def send_slowly(clock, response, chunk_count, pause_s):
-    for _chunk in range(chunk_count):
-        clock.advance(pause_s)
+def send_slowly(clock, response, count, interval_s):
+    for _index in range(count):
+        clock.advance(interval_s)
         response.send(b'x' * 100)
 
 
-def test_slow_response_that_makes_progress_is_not_aborted(clock):
-    """A large configuration takes 4 s on a slow link.
+def test_slow_response_without_pauses_is_received(clock):
+    """A large configuration takes 4 s on a narrow link.
 
-    With a timeout for the complete call, it would be aborted and requested
-    again without end.
+    A time limit for the complete response would discard and restart it
+    repeatedly.
     """
-    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
     send_slowly(clock, response, 10, 0.4)
     response.end(ResponseDone())
-    assert [len(result.body) for result in results] == [1000]
+    assert [len(answer.body) for answer in outcomes] == [1000]
 
 
-def test_response_that_stalls_is_aborted(clock):
+def test_response_that_stalls_times_out(clock):
     """A connection becomes silent in the middle of a response."""
-    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
     send_slowly(clock, response, 2, 0.4)
-    clock.advance(SILENCE_MS / 1000)
+    clock.advance(SILENCE_TIMEOUT_MS / 1000)
     assert response.is_aborted
-    assert results[0].check(SlowAnswer)
-    assert '200 bytes' in results[0].getErrorMessage()
+    assert outcomes[0].check(ResponseTimeoutError)
+    assert '200 bytes' in outcomes[0].getErrorMessage()
 
 
-def test_first_byte_has_the_timeout_of_the_complete_call(clock):
-    """A long poll for changes gets its response once there is a change."""
-    limits = {'timeout_ms': 2000, 'silence_ms': SILENCE_MS}
-    _call, response, results = start_fetch(clock, **limits)
+def test_first_byte_has_the_whole_timeout(clock):
+    """The response to a call for changes starts with the next change."""
+    limits = {'timeout_ms': 2000, 'silence_ms': SILENCE_TIMEOUT_MS}
+    _call, response, outcomes = start_response(clock, **limits)
     clock.advance(1.9)
-    assert not results
+    assert not outcomes
     clock.advance(0.1)
-    assert results[0].check(SlowAnswer)
+    assert outcomes[0].check(ResponseTimeoutError)
     assert response.is_aborted
 
 
-def test_without_silence_limit_the_timeout_covers_the_complete_response(clock):
-    _call, response, results = start_fetch(clock, timeout_ms=2000)
+def test_without_silence_timeout_the_whole_response_is_limited(clock):
+    _call, response, outcomes = start_response(clock, timeout_ms=2000)
     send_slowly(clock, response, 4, 0.4)
     clock.advance(0.4)
-    assert results[0].check(SlowAnswer)
+    assert outcomes[0].check(ResponseTimeoutError)
 
 
-def test_cancelled_call_aborts_its_connection(clock):
-    """Otherwise the rest of the response would occupy a slow link."""
-    call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+def test_cancelled_call_drops_its_connection(clock):
+    """Data that is still in transit would fill a narrow link."""
+    call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
     send_slowly(clock, response, 1, 0.1)
     call.cancel()
     assert response.is_aborted
-    assert results[0].check(CancelledError)
+    assert outcomes[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
 def test_call_cancelled_before_its_response_ends_at_once(clock):
     agent = SimpleNamespace(request=lambda *_request: Deferred())
-    results = []
+    outcomes = []
     call = fetch(clock, agent, 'GET', 'http://store:1/')
-    call.addBoth(results.append)
+    call.addBoth(outcomes.append)
     call.cancel()
-    assert results[0].check(CancelledError)
+    assert outcomes[0].check(CancelledError)
     assert not clock.getDelayedCalls()
 
 
-def test_truncated_response_is_an_error(clock):
-    _call, response, results = start_fetch(clock, silence_ms=SILENCE_MS)
+def test_truncated_response_fails(clock):
+    _call, response, outcomes = start_response(
+        clock, silence_ms=SILENCE_TIMEOUT_MS
+    )
     send_slowly(clock, response, 1, 0.1)
     response.end(ConnectionAborted())
-    assert results[0].check(TruncatedAnswer)
+    assert outcomes[0].check(TruncatedResponseError)
     assert not clock.getDelayedCalls()
 
 
-def test_table_service_may_send_its_rows_slowly(clock, monkeypatch):
-    """Reading all rows of a prefix takes longer than the call's timeout."""
-    request_deferred, response, results = Deferred(), Response(), []
-    agent = SimpleNamespace(request=lambda *_request: request_deferred)
-    monkeypatch.setattr(client, 'pooled_agent', lambda *_options: agent)
+def test_table_service_may_send_rows_slowly(clock, monkeypatch):
+    """All rows of a prefix take longer than the timeout of the call."""
+    request, response, rows = Deferred(), Response(), []
+    agent = SimpleNamespace(request=lambda *_request: request)
+    monkeypatch.setattr(client, 'pooled_agent', lambda *_how: agent)
     transport = client.HttpTransport(clock, 'http://table:1')
-    transport.send_read('jobs/', 1000, results.append)
-    request_deferred.callback(response)
+    transport.send_read('jobs/', 1000, rows.append)
+    request.callback(response)
     for chunk in (b'{"rows": [', b'["jobs/a", 1, "own", {}', b']]}'):
         clock.advance(0.8)
         response.send(chunk)
     response.end(ResponseDone())
-    assert [row.key for row in results[0].unwrap()] == ['jobs/a']
+    assert [row.key for row in rows[0].unwrap()] == ['jobs/a']
