--- a/hyssopring/cli/__init__.py
+++ b/hyssopring/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: daemons, settings and the operators' commands."""
+"""The command line: daemons, checks of settings, operators' commands."""
--- a/hyssopring/cli/client.py
+++ b/hyssopring/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls an entry's operators' port, blocking."""
+"""A blocking HTTP client of the operator API of an entry."""
 
 import json
 from http.client import HTTPConnection, HTTPException
@@ -9,21 +9,29 @@
 from hyssopring.addresses import parse_address
 from hyssopring.cli.exits import CommandFailure, ExitCode
 
-__all__ = ('Answer', 'OperatorClient')
+__all__ = ('CallResult', 'OperatorClient')
 
 _TIMEOUT_S = 10
 _OK = 200
-# Characters that would break the request line rather than name an item.
-_FORBIDDEN = frozenset(' \t\r\n?#%')
+# Characters that no name contains and that would change the request line.
+_FORBIDDEN_IN_PATH = frozenset(' \t\r\n?#%')
 
-Answer = Result[Mapping[str, Any], CommandFailure]
+CallResult = Result[Mapping[str, Any], CommandFailure]
 
 
 class OperatorClient:
-    """One entry's operators' port."""
+    """The operator API of one entry.
+
+    Methods return the JSON document of the response, or the failure.
+    """
 
     def __init__(self, address: str, token: str) -> None:
-        """Call ``address`` (host:port) with the operators' token."""
+        """Create a client.
+
+        Args:
+            address: The entry's operator address (host:port).
+            token: The operators' token.
+        """
         self.address = address
         self._token = token
 
@@ -31,26 +39,32 @@
         """Return a client of another entry with the same token."""
         return OperatorClient(address, self._token)
 
-    def put(self, key: str, document: str, version: int) -> Answer:
-        """Submit or change one configuration item."""
+    def put(self, key: str, document: str, version: int) -> CallResult:
+        """Submit or change one configuration item.
+
+        Args:
+            key: The key of the item.
+            document: The item as JSON.
+            version: The item's current version; 0 if it is new.
+        """
         path = f'configuration/{key}'
         return self._call('PUT', path, document, {'If-Match': str(version)})
 
-    def delete(self, key: str, version: int) -> Answer:
-        """Withdraw one configuration item."""
+    def delete(self, key: str, version: int) -> CallResult:
+        """Withdraw one configuration item that is at ``version``."""
         path = f'configuration/{key}'
         return self._call('DELETE', path, '', {'If-Match': str(version)})
 
-    def post_job(self, submission: Mapping[str, Any]) -> Answer:
+    def post_job(self, submission: Mapping[str, Any]) -> CallResult:
         """Submit a batch job."""
         return self._call('POST', 'jobs', json.dumps(submission), {})
 
-    def cancel(self, path: str) -> Answer:
+    def cancel(self, path: str) -> CallResult:
         """Cancel ``jobs/<id>`` or ``tasks/<id>``."""
         return self._call('DELETE', path, '', {})
 
-    def get(self, path: str) -> Answer:
-        """Read a page."""
+    def get(self, path: str) -> CallResult:
+        """Read the document at a path."""
         return self._call('GET', path, '', {})
 
     def _call(
@@ -59,9 +73,9 @@
         path: str,
         body: str,
         headers: Mapping[str, str],
-    ) -> Answer:
-        if _FORBIDDEN & set(path):
-            return _usage(f'{path}: not a name')
+    ) -> CallResult:
+        if _FORBIDDEN_IN_PATH & set(path):
+            return _usage_failure(f'{path}: not a name')
         host, port = parse_address(self.address)
         connection = HTTPConnection(host, port, timeout=_TIMEOUT_S)
         try:  # noqa: WPS229 -- each step may lose the connection
@@ -78,10 +92,10 @@
             return Err(CommandFailure(ExitCode.UNREACHABLE, line))
         finally:
             connection.close()
-        return _answer(response.status, text)
+        return _parse_response(response.status, text)
 
 
-def _answer(status: int, text: str) -> Answer:
+def _parse_response(status: int, text: str) -> CallResult:
     try:
         document = json.loads(text)
     except ValueError:
@@ -100,5 +114,5 @@
     return Err(CommandFailure(ExitCode.REFUSED, line))
 
 
-def _usage(line: str) -> Answer:
+def _usage_failure(line: str) -> CallResult:
     return Err(CommandFailure(ExitCode.USAGE, line))
--- a/hyssopring/cli/commands.py
+++ b/hyssopring/cli/commands.py
@@ -1,4 +1,4 @@
-"""The subcommands: the daemons, and what operators use."""
+"""The commands: the daemons, and the operators' commands."""
 
 import inspect
 import json
@@ -13,11 +13,21 @@
 from hyssopring.cli import views
 from hyssopring.cli.client import OperatorClient
 from hyssopring.cli.daemons import run_agent, run_entry
-from hyssopring.cli.documents import client_of, document_of, settings_of, usage
+from hyssopring.cli.documents import (
+    load_json_text,
+    load_settings_file,
+    resolve_client,
+    usage_failure,
+)
 from hyssopring.cli.exits import CommandFailure, ExitCode
-from hyssopring.cli.fleet import wait_in_force
-from hyssopring.cli.log_command import explain_logs
-from hyssopring.cli.output import fail, good, say, say_json
+from hyssopring.cli.explain_logs import explain_logs
+from hyssopring.cli.fleet_pages import wait_until_in_force
+from hyssopring.cli.output import (
+    exit_with,
+    unwrap_or_exit,
+    write_json,
+    write_line,
+)
 from hyssopring.settings import (
     AgentSettings,
     EntrySettings,
@@ -27,9 +37,9 @@
     role_of,
 )
 
-__all__ = ('Commands', 'Planned')
+__all__ = ('Commands', 'PlannedCall')
 
-Planned = Callable[[], None]
+PlannedCall = Callable[[], None]
 
 _VARIADIC: Final = inspect.Parameter.VAR_POSITIONAL
 
@@ -44,29 +54,31 @@
 
 
 def _command(method: Callable[..., None]) -> Callable[..., None]:
-    """Keep a call that the command line asks for until it is parsed whole.
+    """Make a method record its call, to run after the arguments are parsed.
 
-    Arguments stay text until they are validated: the parser would take a
-    job named 007 for a number.
+    Arguments stay text until they are validated: the parser would read the
+    job id 007 as a number.
     """
     validated = validate_call(method)
     signature = inspect.signature(method)
 
     @wraps(method)
-    def plan(  # noqa: WPS430 -- a decorator
+    def record_call(  # noqa: WPS430 -- a decorator
         self: 'Commands',
-        *given: Any,
-        **named: Any,
+        *positional: Any,
+        **keywords: Any,
     ) -> None:
-        # Bound by name, so that a wrong argument is reported by its name.
-        bound = signature.bind(self, *given, **named)
-        if _VARIADIC in {each.kind for each in signature.parameters.values()}:
+        # Bound by name, so that validation errors name the argument.
+        bound = signature.bind(self, *positional, **keywords)
+        if _VARIADIC in {
+            parameter.kind for parameter in signature.parameters.values()
+        }:
             call = partial(validated, *bound.args, **bound.kwargs)
         else:
             call = partial(validated, **bound.arguments)
         self._planned.append(call)
 
-    return SetParseFn(str)(plan)
+    return SetParseFn(str)(record_call)
 
 
 class Commands:
@@ -82,8 +94,8 @@
     of time.
     """
 
-    # Calls that the command line asks for; each parse brings its own list.
-    _planned: ClassVar[list[Planned]] = []
+    # Recorded calls; each parse sets a list of its own.
+    _planned: ClassVar[list[PlannedCall]] = []
 
     def __init__(
         self,
@@ -93,19 +105,19 @@
         settings: str = '',
         json: str = '',  # noqa: WPS442 -- the flag's own name
     ) -> None:
-        """Take the flags that all operators' commands share."""
-        self._connect = partial(client_of, entry, token, settings)
+        """Store the flags that all operators' commands share."""
+        self._connect = partial(resolve_client, entry, token, settings)
         self._as_json = json.lower() == 'true'
 
     @_command
     def entry(self, file: str) -> None:
         """Run an entry with the settings in FILE."""
-        run_entry(settings_of(file, EntrySettings))
+        run_entry(load_settings_file(file, EntrySettings))
 
     @_command
     def agent(self, file: str) -> None:
         """Run an agent with the settings in FILE."""
-        run_agent(settings_of(file, AgentSettings))
+        run_agent(load_settings_file(file, AgentSettings))
 
     @_command
     def check(self, file: str, *, role: str = '') -> None:
@@ -116,19 +128,23 @@
         """
         document = read_document(file)
         if document.is_err():
-            fail(usage(document.unwrap_err().detail))
+            exit_with(usage_failure(document.unwrap_err().detail))
         if role and role not in _MODEL_BY_ROLE:
-            fail(usage(f'--role: found {role}, use entry, agent or operator'))
+            exit_with(
+                usage_failure(
+                    f'--role: found {role}, use entry, agent or operator'
+                )
+            )
         model = _MODEL_BY_ROLE.get(role) or role_of(document.unwrap())
         checked = check_document(file, document.unwrap(), model)
         if checked.is_err():
-            fail(usage(checked.unwrap_err().detail))
-        say(f'{file}: good {model.__name__}')
+            exit_with(usage_failure(checked.unwrap_err().detail))
+        write_line(f'{file}: good {model.__name__}')
 
     @_command
     def version(self) -> None:
         """Show the program's version."""
-        say(__version__)
+        write_line(__version__)
 
     @_command
     def submit(self, key: str, file: str, *, wait: bool = False) -> None:
@@ -137,7 +153,7 @@
         KEY is template/NAME, parameters/TEAM/TEMPLATE or team/TEAM. --wait
         returns when the item is in force in every process.
         """
-        self._put(key, document_of(file), 0, wait)
+        self._put_item(key, load_json_text(file), 0, wait)
 
     @_command
     def change(
@@ -154,13 +170,13 @@
         changed the item since, the command is refused and names the version
         that is current.
         """
-        self._put(key, document_of(file), version, wait)
+        self._put_item(key, load_json_text(file), version, wait)
 
     @_command
     def withdraw(self, key: str, version: int, *, wait: bool = False) -> None:
         """Withdraw an item that is at VERSION."""
         client = self._connect()
-        self._accepted(client, client.delete(key, version), wait)
+        self._report_accepted(client, client.delete(key, version), wait)
 
     @_command
     def show(self, key: str = '', *, number: bool = False) -> None:
@@ -169,9 +185,9 @@
         --number shows only the version of the one item KEY, 0 if there is
         none, as change and withdraw take it.
         """
-        page = good(self._connect().get(f'configuration/{key}'))
+        page = unwrap_or_exit(self._connect().get(f'configuration/{key}'))
         if number:
-            say(str(views.item_version(page, key)))
+            write_line(str(views.item_version(page, key)))
         else:
             views.show_items(page, as_json=self._as_json)
 
@@ -186,14 +202,14 @@
             'template': template,
             'tasks': tasks,
         }
-        accepted = good(self._connect().post_job(submission))
-        self._say(accepted, f'{job}: accepted')
+        accepted = unwrap_or_exit(self._connect().post_job(submission))
+        self._write(accepted, f'{job}: accepted')
 
     @_command
     def job(self, job: str) -> None:
         """Show a JOB's tasks by state, from the table."""
-        found = good(self._connect().get(f'jobs/{job}'))
-        views.show_job(found, as_json=self._as_json)
+        job_page = unwrap_or_exit(self._connect().get(f'jobs/{job}'))
+        views.show_job(job_page, as_json=self._as_json)
 
     @_command
     def jobs(self) -> None:
@@ -204,16 +220,16 @@
     def cancel(self, subject: str) -> None:
         """Cancel a job's tasks that have not ended, or one task (JOB:N)."""
         area = 'tasks' if ':' in subject else 'jobs'
-        accepted = good(self._connect().cancel(f'{area}/{subject}'))
-        self._say(accepted, f'{subject}: cancellation accepted')
+        accepted = unwrap_or_exit(self._connect().cancel(f'{area}/{subject}'))
+        self._write(accepted, f'{subject}: cancellation accepted')
 
     @_command
     def status(self, what: str = 'fleet') -> None:
         """Show the fleet, or WHAT: teams, jobs, keepers or versions."""
         show = views.VIEW_BY_NAME.get(what)
         if show is None:
-            known = ', '.join(views.VIEW_BY_NAME)
-            fail(usage(f'status {what}: unknown, use {known}'))
+            choices = ', '.join(views.VIEW_BY_NAME)
+            exit_with(usage_failure(f'status {what}: unknown, use {choices}'))
         show(self._connect(), as_json=self._as_json)
 
     @_command
@@ -238,10 +254,12 @@
             explain_logs(subjects, job, task)
             return
         if kind not in {'request', 'task', 'job'}:
-            known = 'request, task or job, or logs'
-            fail(usage(f'explain {kind}: unknown, use {known}'))
+            choices = 'request, task or job, or logs'
+            exit_with(usage_failure(f'explain {kind}: unknown, use {choices}'))
         if len(subjects) != 1 or job or task:
-            fail(usage(f'explain {kind}: takes one id, and neither flag'))
+            exit_with(
+                usage_failure(f'explain {kind}: takes one id, and neither flag')
+            )
         views.show_decisions(
             self._connect(),
             f'{kind}/{subjects[0]}',
@@ -262,40 +280,42 @@
         Requests in flight finish. Keepers stay unless --keepers is given.
         """
         document = json.dumps({'why': why, 'keepers': keepers})
-        self._put(f'drain/{agent}', document, 0, wait)
+        self._put_item(f'drain/{agent}', document, 0, wait)
 
     @_command
     def undrain(self, agent: str, *, wait: bool = False) -> None:
         """Let a drained AGENT's VM take work again."""
         client = self._connect()
         key = f'drain/{agent}'
-        page = good(client.get(f'configuration/{key}'))
+        page = unwrap_or_exit(client.get(f'configuration/{key}'))
         version = views.item_version(page, key)
         if not version:
             line = f'{agent} is not drained'
-            fail(CommandFailure(ExitCode.REFUSED, line))
-        self._accepted(client, client.delete(key, version), wait)
+            exit_with(CommandFailure(ExitCode.REFUSED, line))
+        self._report_accepted(client, client.delete(key, version), wait)
 
-    def _put(self, key: str, document: str, version: int, wait: bool) -> None:
+    def _put_item(
+        self, key: str, document: str, version: int, wait: bool
+    ) -> None:
         client = self._connect()
-        self._accepted(client, client.put(key, document, version), wait)
+        self._report_accepted(client, client.put(key, document, version), wait)
 
-    def _accepted(
+    def _report_accepted(
         self,
         client: OperatorClient,
-        answer: views.Answer,
+        call_result: views.CallResult,
         wait: bool,
     ) -> None:
-        accepted = good(answer)
+        accepted = unwrap_or_exit(call_result)
         version = accepted['version']
-        self._say(accepted, f'accepted as version {version}')
+        self._write(accepted, f'accepted as version {version}')
         if wait:
-            line = good(wait_in_force(client, version))
+            line = unwrap_or_exit(wait_until_in_force(client, version))
             if not self._as_json:
-                say(line)
+                write_line(line)
 
-    def _say(self, document: Any, line: str) -> None:
+    def _write(self, document: Any, line: str) -> None:
         if self._as_json:
-            say_json(document)
+            write_json(document)
         else:
-            say(line)
+            write_line(line)
--- a/hyssopring/cli/daemons.py
+++ b/hyssopring/cli/daemons.py
@@ -1,4 +1,8 @@
-"""Runs the daemons. Their modules load only here: commands stay quick."""
+"""Runs the daemons.
+
+The modules of the daemons are imported when one runs, so that the other
+commands start quickly.
+"""
 
 import signal
 from functools import partial
@@ -11,32 +15,32 @@
 
 
 def run_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is stopped."""
+    """Run an entry until SIGTERM or SIGINT."""
     from twisted.internet import reactor  # noqa: PLC0415, WPS433
 
     from hyssopring.entry.daemon import EntryDaemon  # noqa: WPS433
 
     configure_logging(settings.log_level)
-    _run(reactor, EntryDaemon(reactor, settings))
+    _run_until_signal(reactor, EntryDaemon(reactor, settings))
 
 
 def run_agent(settings: AgentSettings) -> None:
-    """Run an agent until it is stopped."""
+    """Run an agent until SIGTERM or SIGINT."""
     from twisted.internet import reactor  # noqa: PLC0415, WPS433
 
     from hyssopring.agent.daemon import AgentDaemon  # noqa: WPS433
 
     configure_logging(settings.log_level)
-    _run(reactor, AgentDaemon(reactor, settings))
+    _run_until_signal(reactor, AgentDaemon(reactor, settings))
 
 
-def _run(reactor: Any, daemon: Any) -> None:
+def _run_until_signal(reactor: Any, daemon: Any) -> None:
     daemon.start()
-    stop = partial(_stop, reactor, daemon)
+    stop = partial(_request_stop, reactor, daemon)
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
     reactor.run(installSignalHandlers=False)
 
 
-def _stop(reactor: Any, daemon: Any, *_signal: object) -> None:
+def _request_stop(reactor: Any, daemon: Any, *_signal: object) -> None:
     reactor.callFromThread(daemon.stop)
--- a/hyssopring/cli/documents.py
+++ b/hyssopring/cli/documents.py
@@ -1,4 +1,4 @@
-"""Reads the documents and settings that commands are given."""
+"""Reads the documents and settings of commands."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 from hyssopring.cli.client import OperatorClient
 from hyssopring.cli.exits import CommandFailure, ExitCode
-from hyssopring.cli.output import good
+from hyssopring.cli.output import unwrap_or_exit
 from hyssopring.errors import Failure
 from hyssopring.settings import (
     OperatorSettings,
@@ -19,60 +19,91 @@
     read_document,
 )
 
-__all__ = ('client_of', 'document_of', 'settings_of', 'usage')
+__all__ = (
+    'load_json_text',
+    'load_settings_file',
+    'resolve_client',
+    'usage_failure',
+)
 
 _DEFAULT_ENTRY = '127.0.0.1:7002'
 _STDIN = '-'
 _Model = TypeVar('_Model', bound=BaseModel)
-_Kept = TypeVar('_Kept')
+_Success = TypeVar('_Success')
 
 
-def usage(line: str) -> CommandFailure:
-    """Return a failure of the command line's own."""
+def usage_failure(line: str) -> CommandFailure:
+    """Return a failure with exit code ``USAGE``."""
     return CommandFailure(ExitCode.USAGE, line)
 
 
-def settings_of(path: str, model: type[_Model]) -> _Model:
-    """Load settings, or end the process with one line."""
-    return good(_as_usage(load_settings(path, model)))
+def load_settings_file(path: str, model: type[_Model]) -> _Model:
+    """Load settings; end the process if they are invalid."""
+    return unwrap_or_exit(_as_usage_failure(load_settings(path, model)))
+
 
+def load_json_text(path: str) -> str:
+    """Read JSON with comments from a file, or from standard input (``-``).
 
-def document_of(path: str) -> str:
-    """Read JSON with comments from a file, or from standard input (-)."""
+    Returns:
+        The document as JSON without comments. A document that
+        cannot be read or parsed ends the process.
+    """
     if path != _STDIN:
-        return json.dumps(good(_as_usage(read_document(path))))
+        return json.dumps(
+            unwrap_or_exit(_as_usage_failure(read_document(path)))
+        )
     try:
         return json.dumps(parse_commented(sys.stdin.read()))
     except (ValueError, RecursionError) as error:
-        return good(Err(usage(f'standard input: not JSON: {error}')))
+        return unwrap_or_exit(
+            Err(usage_failure(f'standard input: not JSON: {error}'))
+        )
 
 
-def client_of(entry: str, token: str, settings: str) -> OperatorClient:
-    """Find where to connect: flags first, then environment, then the file."""
+def resolve_client(entry: str, token: str, settings: str) -> OperatorClient:
+    """Return a client for the entry that commands call.
+
+    Flags take precedence over the environment, and both over the settings
+    file. A missing or invalid token or address ends the process.
+
+    Args:
+        entry: The value of ``--entry``; empty if not given.
+        token: The value of ``--token``; empty if not given.
+        settings: The value of ``--settings``; empty if not given.
+    """
     path = settings or os.environ.get('HYSSOPRING_SETTINGS', '')
-    filed = settings_of(path, OperatorSettings) if path else None
-    given_entry = entry or os.environ.get('HYSSOPRING_ENTRY', '')
-    given_token = token or os.environ.get('HYSSOPRING_TOKEN', '')
-    if filed is not None:
-        given_entry = given_entry or filed.entry
-        given_token = given_token or filed.token
-    if not given_token:
-        good(Err(usage('no token: --token, HYSSOPRING_TOKEN or --settings')))
+    file_settings = load_settings_file(path, OperatorSettings) if path else None
+    entry_address = entry or os.environ.get('HYSSOPRING_ENTRY', '')
+    operator_token = token or os.environ.get('HYSSOPRING_TOKEN', '')
+    if file_settings is not None:
+        entry_address = entry_address or file_settings.entry
+        operator_token = operator_token or file_settings.token
+    if not operator_token:
+        unwrap_or_exit(
+            Err(
+                usage_failure(
+                    'no token: --token, HYSSOPRING_TOKEN or --settings'
+                )
+            )
+        )
     try:
         checked = OperatorSettings(
-            entry=given_entry or _DEFAULT_ENTRY,
-            token=given_token,
+            entry=entry_address or _DEFAULT_ENTRY,
+            token=operator_token,
         )
     except ValidationError as error:
-        problem: Any = error.errors()[0]
-        name = problem['loc'][0]
-        return good(Err(usage(f'--{name}: {problem["msg"]}')))
+        first_error: Any = error.errors()[0]
+        name = first_error['loc'][0]
+        return unwrap_or_exit(
+            Err(usage_failure(f'--{name}: {first_error["msg"]}'))
+        )
     return OperatorClient(checked.entry, checked.token)
 
 
-def _as_usage(
-    outcome: Result[_Kept, Failure],
-) -> Result[_Kept, CommandFailure]:
+def _as_usage_failure(
+    outcome: Result[_Success, Failure],
+) -> Result[_Success, CommandFailure]:
     if outcome.is_err():
-        return Err(usage(outcome.unwrap_err().detail))
+        return Err(usage_failure(outcome.unwrap_err().detail))
     return Ok(outcome.unwrap())
--- a/hyssopring/cli/exits.py
+++ b/hyssopring/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and failures that carry one."""
+"""Exit codes of the command line, and the failure that carries one."""
 
 import enum
 from dataclasses import dataclass
@@ -9,9 +9,9 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the process's exit code tells a script."""
+    """Exit codes of the process, for scripts."""
 
-    GOOD = 0
+    SUCCESS = 0
     REFUSED = 1
     USAGE = 2
     UNREACHABLE = 3
@@ -20,7 +20,7 @@
 
 MEANING_BY_EXIT: Final[Mapping[ExitCode, str]] = MappingProxyType(
     {
-        ExitCode.GOOD: 'done',
+        ExitCode.SUCCESS: 'done',
         ExitCode.REFUSED: 'refused or failed; the line says why',
         ExitCode.USAGE: 'wrong usage, or wrong settings or file',
         ExitCode.UNREACHABLE: 'an entry gave no answer; what it did is unknown',
@@ -31,7 +31,12 @@
 
 @dataclass(frozen=True)
 class CommandFailure:
-    """Why a command ends early: one line for standard error."""
+    """The failure that ends a command.
+
+    Attributes:
+        exit_code: The exit code of the process.
+        line: The cause, printed to standard error as one line.
+    """
 
     exit_code: ExitCode
     line: str
--- a/hyssopring/cli/help.py
+++ b/hyssopring/cli/help.py
@@ -1,7 +1,7 @@
-"""Help as plain text.
+"""Help as plain text, from the doc comments of the commands.
 
-The parser's own help opens a pager on a terminal, which is a process, and
-lists the parser's inner names among the commands.
+The parser's own help is not used: on a terminal it starts a pager process, and
+it lists inner names of the parser among the commands.
 """
 
 import inspect
@@ -15,7 +15,7 @@
 
 
 def command_names() -> tuple[str, ...]:
-    """Return the names of all subcommands, in the order of their listing."""
+    """Return the names of all commands, in the order of definition."""
     return tuple(
         name
         for name, member in Commands.__dict__.items()
@@ -27,7 +27,11 @@
     """Return the help of the whole program."""
     names = command_names()
     width = max(len(name) for name in names)
-    lines = ['usage: hyssopring COMMAND [ARGUMENTS] [FLAGS]', '', _doc()]
+    lines = [
+        'usage: hyssopring COMMAND [ARGUMENTS] [FLAGS]',
+        '',
+        _program_doc(),
+    ]
     lines.extend(('', 'commands:'))
     lines.extend(
         f'{_INDENT}{name.ljust(width)}{_INDENT}{_summary(name)}'
@@ -38,13 +42,13 @@
 
 
 def command_help(name: str) -> str:
-    """Return the help of one subcommand."""
+    """Return the help of one command."""
     method = getattr(Commands, name)
-    usage = ' '.join(('usage: hyssopring', name, *_arguments(name)))
+    usage = ' '.join(('usage: hyssopring', name, *_format_parameters(name)))
     return f'{usage}\n\n{inspect.getdoc(method)}'
 
 
-def _doc() -> str:
+def _program_doc() -> str:
     return inspect.getdoc(Commands) or ''
 
 
@@ -53,20 +57,20 @@
     return text.partition('\n')[0]
 
 
-def _arguments(name: str) -> Iterator[str]:
+def _format_parameters(name: str) -> Iterator[str]:
     signature = inspect.signature(getattr(Commands, name))
-    for argument in list(signature.parameters.values())[1:]:
-        yield _shown(argument)
+    for parameter in list(signature.parameters.values())[1:]:
+        yield _format_parameter(parameter)
 
 
-def _shown(argument: inspect.Parameter) -> str:
-    placeholder = argument.name.upper()
-    if argument.kind is inspect.Parameter.VAR_POSITIONAL:
+def _format_parameter(parameter: inspect.Parameter) -> str:
+    placeholder = parameter.name.upper()
+    if parameter.kind is inspect.Parameter.VAR_POSITIONAL:
         return f'{placeholder}...'
-    if argument.default is inspect.Parameter.empty:
+    if parameter.default is inspect.Parameter.empty:
         return placeholder
-    if argument.kind is inspect.Parameter.POSITIONAL_OR_KEYWORD:
+    if parameter.kind is inspect.Parameter.POSITIONAL_OR_KEYWORD:
         return f'[{placeholder}]'
-    if argument.annotation is bool:
-        return f'[--{argument.name}]'
-    return f'[--{argument.name}={placeholder}]'
+    if parameter.annotation is bool:
+        return f'[--{parameter.name}]'
+    return f'[--{parameter.name}={placeholder}]'
--- a/hyssopring/cli/log_lines.py
+++ b/hyssopring/cli/log_lines.py
@@ -1,8 +1,8 @@
-"""Finds the lines about one job or task in the logs of many processes.
+"""Finds the log lines about one job or task in the files of many processes.
 
-Files may be hundreds of megabytes long and damaged: only the lines that are
-wanted are kept, and whatever is no whole line of ours is passed over. Such
-lines are counted where they look as if they were about the subject.
+Files may be hundreds of megabytes long and damaged, so only relevant lines
+are kept in memory. Lines that are truncated or were not written by this
+project are skipped, and counted if they match the subject's search pattern.
 """
 
 import json
@@ -18,14 +18,14 @@
 
 __all__ = ('FoundLines', 'LogLine', 'Subject', 'find_lines')
 
-# The writer keeps at most 256 KiB of lines, so that no line of ours is longer;
-# a longer one is read in pieces, so that foreign data cannot fill the memory.
+# The log writer buffers at most 256 KiB, so it writes no longer line. Longer
+# lines are read in pieces: data of other programs must not fill the memory.
 _MAX_LINE_BYTES: Final = 256 * 1024
-_START: Final = re.compile(r'\{(?="at")')
-# A machine's or process's name in what a collector writes before the object.
-_NAME: Final = re.compile(r'(?<![\w.-])[A-Za-z][\w.-]*')
+_RECORD_START: Final = re.compile(r'\{(?="at")')
+# The name of a machine or process in the prefix that a log collector adds.
+_PROCESS_NAME: Final = re.compile(r'(?<![\w.-])[A-Za-z][\w.-]*')
 _SHARD_EVENTS: Final = frozenset((Event.SHARD_ACQUIRED, Event.SHARD_LOST))
-# Told of a process or an agent: they matter to every job of their time.
+# Events of a process or an agent: relevant to every job that ran meanwhile.
 _CONTEXT_EVENTS: Final = frozenset(
     (
         Event.STORE_UNREACHABLE,
@@ -40,11 +40,13 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One event as a process wrote it.
+    """One event from a log file.
 
     Attributes:
-        at: The process's local time.
-        source: The name before the object, else the file's.
+        at: The local time of the process that wrote the line, without zone.
+        source: The process name from the line's prefix, else the file name.
+        event: The number of the event.
+        record: The decoded JSON object.
     """
 
     at: datetime
@@ -55,39 +57,48 @@
 
 @dataclass(frozen=True)
 class Subject:
-    """What is asked about: a job, or one task of it."""
+    """The job, or one task of it, to explain.
+
+    Attributes:
+        job: The id of the job.
+        task: The name of the task; empty for all tasks of the job.
+    """
 
     job: str
     task: str = ''
 
     @property
     def shard(self) -> int | None:
-        """The shard that plans the job; none if its id is not of ours."""
+        """The shard that plans the job; ``None`` if the job id is invalid."""
         try:
             return shard_of(self.job)
         except ValueError:
             return None
 
-    def concerns(self, line: LogLine) -> bool:
-        """Tell whether a line is of the subject, its shard or its time."""
+    def is_relevant(self, line: LogLine) -> bool:
+        """Return whether a line names the subject or may explain it.
+
+        Lines about the subject's shard, and about processes and agents, may
+        explain it.
+        """
         shard = line.record.get('shard')
         if shard is not None and line.event in _SHARD_EVENTS | _CONTEXT_EVENTS:
             return shard == self.shard
-        return line.event in _CONTEXT_EVENTS or self.owns(line)
+        return line.event in _CONTEXT_EVENTS or self.is_named_in(line)
 
-    def owns(self, line: LogLine) -> bool:
-        """Tell whether a line names the job itself, or the task."""
+    def is_named_in(self, line: LogLine) -> bool:
+        """Return whether a line names the job itself, or the task."""
         if line.record.get('job') == self.job:
             return True
-        return any(map(self._is_named, _tasks(line.record)))
+        return any(map(self._includes_task, _task_names(line.record)))
 
-    def _is_named(self, task: str) -> bool:
+    def _includes_task(self, task: str) -> bool:
         if self.task:
             return task == self.task
         return task.partition('.')[0] == self.job
 
-    def pattern(self) -> re.Pattern[bytes]:
-        """Return what a line holds that may be wanted; quick to search."""
+    def search_pattern(self) -> re.Pattern[bytes]:
+        """Return a pattern that every relevant line matches, before parsing."""
         events = '|'.join(
             str(event.value) for event in _SHARD_EVENTS | _CONTEXT_EVENTS
         )
@@ -97,33 +108,42 @@
 
 @dataclass
 class FoundLines:
-    """The wanted lines in order of time.
+    """The relevant lines of all files.
 
     Attributes:
-        unread: Lines that name the subject, or an event that matters to it,
-            and are cut or not of ours.
+        lines: The lines, in order of time.
+        malformed_count: Number of lines that match the search pattern and
+            are truncated or not log lines of this project.
     """
 
     lines: list[LogLine] = field(default_factory=list)
-    unread: int = 0
+    malformed_count: int = 0
 
 
 def find_lines(paths: Sequence[str], subject: Subject) -> FoundLines:
-    """Read files one after the other; an unreadable one raises OSError."""
+    """Find the lines about a subject in log files.
+
+    Args:
+        paths: The files, read one after the other.
+        subject: The job or task to look for.
+
+    Raises:
+        OSError: A file cannot be read.
+    """
     found = FoundLines()
-    pattern = subject.pattern()
+    pattern = subject.search_pattern()
     for path in paths:
-        name = pathlib.PurePath(path).name
+        file_name = pathlib.PurePath(path).name
         with open(path, 'rb') as stream:
             for raw in _raw_lines(stream):
                 if pattern.search(raw):
-                    _take(raw, name, subject, found)
+                    _collect(raw, file_name, subject, found)
     found.lines.sort(key=lambda line: line.at)
     return found
 
 
-def _tasks(record: _Record) -> list[str]:
-    """Return the tasks that a line names: its own, or several attempts'."""
+def _task_names(record: _Record) -> list[str]:
+    """Return the tasks in the fields ``task`` and ``started``."""
     started = str(record.get('started', '')).split()
     names = [attempt.partition('/')[0] for attempt in started]
     return [str(record.get('task', '')), *names]
@@ -133,29 +153,31 @@
     return iter(lambda: stream.readline(_MAX_LINE_BYTES), b'')
 
 
-def _take(raw: bytes, name: str, subject: Subject, found: FoundLines) -> None:
-    lines = list(_parse(raw.decode(errors='replace'), name))
+def _collect(
+    raw: bytes, file_name: str, subject: Subject, found: FoundLines
+) -> None:
+    lines = list(_parse(raw.decode(errors='replace'), file_name))
     if not lines:
-        found.unread += 1
-    found.lines.extend(line for line in lines if subject.concerns(line))
+        found.malformed_count += 1
+    found.lines.extend(line for line in lines if subject.is_relevant(line))
 
 
-def _parse(text: str, name: str) -> Iterator[LogLine]:
-    """Return the whole objects of a line.
+def _parse(text: str, file_name: str) -> Iterator[LogLine]:
+    """Yield the complete JSON objects of a line.
 
-    There may be two: a process that died within a line leaves its start, and
-    the next one's first line follows on it.
+    A process that crashes while it writes leaves a truncated object without
+    a line break; the first line of the next process then follows on it.
     """
-    source = name
-    for index, start in enumerate(_START.finditer(text)):
+    source = file_name
+    for index, start in enumerate(_RECORD_START.finditer(text)):
         if index == 0:
-            source = _source(text[: start.start()]) or name
-        line = _line_of(text[start.start() :], source)
+            source = _process_name(text[: start.start()]) or file_name
+        line = _decode_line(text[start.start() :], source)
         if line is not None:
             yield line
 
 
-def _line_of(text: str, source: str) -> LogLine | None:
+def _decode_line(text: str, source: str) -> LogLine | None:
     try:
         record = json.JSONDecoder().raw_decode(text)[0]
     except (ValueError, RecursionError):
@@ -167,9 +189,10 @@
         at = datetime.fromisoformat(stamp)
     except ValueError:
         return None
-    # A collector's zone would not compare with the local time of ours.
+    # Processes write local time without a zone; times with and without one
+    # cannot be compared.
     return LogLine(at.replace(tzinfo=None), source, event, record)
 
 
-def _source(prefix: str) -> str:
-    return max(_NAME.findall(prefix), key=len, default='')
+def _process_name(prefix: str) -> str:
+    return max(_PROCESS_NAME.findall(prefix), key=len, default='')
--- a/hyssopring/cli/log_sentences.py
+++ b/hyssopring/cli/log_sentences.py
@@ -1,4 +1,4 @@
-"""Says in a plain sentence what one log line tells."""
+"""Describes a log line in one sentence."""
 
 from types import MappingProxyType
 from typing import Any, Callable, Final, Mapping
@@ -7,11 +7,11 @@
 from hyssopring.clock import MILLIS_PER_SECOND
 from hyssopring.logs import Event
 
-__all__ = ('sentence', 'shown_seconds')
+__all__ = ('describe_line', 'format_seconds')
 
 _AGES: Final = 'report {report_age_ms} ms old, grant {grant_age_ms} ms old'
 _ATTEMPT: Final = '{task} attempt {attempt}'
-_OWN_FIELDS: Final = frozenset(('at', 'level', 'event', 'name'))
+_HEADER_FIELDS: Final = frozenset(('at', 'level', 'event', 'name'))
 _TEMPLATE_BY_EVENT: Final[Mapping[int, str]] = MappingProxyType(
     {
         Event.AGENT_DISCONNECTED: 'the connection to {agent} ended',
@@ -62,93 +62,99 @@
 )
 
 
-class _Words(dict[str, Any]):
-    """Fields for a template; one that the process did not write is shown."""
+class _Fields(dict[str, Any]):
+    """Fields for a template; a missing field reads ``unknown``."""
 
     def __missing__(self, name: str) -> str:
         return 'unknown'
 
 
-_Tell = Callable[[_Words], str]
+_Describe = Callable[[_Fields], str]
 
 
-def sentence(line: LogLine) -> str:
-    """Return one line of text without the time."""
-    words = _Words(line.record)
-    told = _SENTENCE_BY_EVENT.get(line.event)
+def describe_line(line: LogLine) -> str:
+    """Return one line of text, without time and source."""
+    fields = _Fields(line.record)
+    describe = _DESCRIBE_BY_EVENT.get(line.event)
     template = _TEMPLATE_BY_EVENT.get(line.event)
-    if told:
-        text = told(words)
+    if describe:
+        text = describe(fields)
     elif template:
-        text = template.format_map(words)
+        text = template.format_map(fields)
     else:
-        text = _other(words)
+        text = _describe_other(fields)
     return ' '.join(text.split())
 
 
-def shown_seconds(millis: float) -> str:
-    """Return a span as people read it."""
+def format_seconds(millis: float) -> str:
+    """Return a span in seconds with its unit."""
     return f'{millis / MILLIS_PER_SECOND:.1f} s'
 
 
-def _placed(words: _Words) -> str:
-    how = 'from its checkpoint ' if words.get('resumed') is True else ''
-    if words.get('trial') is True:
-        how = f'{how}as a suspect, alone, '
-    text = f'{_ATTEMPT} is placed {how}on {{agent}} under reign {{reign}}'
-    return f'{text} ({_AGES})'.format_map(words)
+def _describe_placement(fields: _Fields) -> str:
+    manner = 'from its checkpoint ' if fields.get('resumed') is True else ''
+    if fields.get('trial') is True:
+        manner = f'{manner}as a suspect, alone, '
+    text = f'{_ATTEMPT} is placed {manner}on {{agent}} under reign {{reign}}'
+    return f'{text} ({_AGES})'.format_map(fields)
 
 
-def _lapsed(words: _Words) -> str:
-    attempt = _ATTEMPT.format_map(words)
+def _describe_lapse(fields: _Fields) -> str:
+    attempt = _ATTEMPT.format_map(fields)
     text = f'{attempt} on {{agent}} is taken for over: {{reason}}'
-    if words['boot'] != words['present']:
+    if fields['boot'] != fields['present']:
         text = f'{text}, {{boot}} before, {{present}} now'
-    return f'{text} (order {{order}}, {_AGES})'.format_map(words)
+    return f'{text} (order {{order}}, {_AGES})'.format_map(fields)
 
 
-def _refused(words: _Words) -> str:
-    kind = words.get('kind', words.get('why', 'unknown'))
-    return f'refused: {kind}: {words["detail"]}'
+def _describe_refusal(fields: _Fields) -> str:
+    kind = fields.get('kind', fields.get('why', 'unknown'))
+    return f'refused: {kind}: {fields["detail"]}'
 
 
-def _start_refused(words: _Words) -> str:
-    reason = words.get('reason', words.get('why', 'unknown'))
-    attempt = _ATTEMPT.format_map(words)
+def _describe_start_refusal(fields: _Fields) -> str:
+    reason = fields.get('reason', fields.get('why', 'unknown'))
+    attempt = _ATTEMPT.format_map(fields)
     return f'{attempt} is refused by its agent: {reason}'
 
 
-def _ended(words: _Words) -> str:
-    how = words.get('how', words.get('phase', 'recorded'))
-    number = words.get('number')
+def _describe_end(fields: _Fields) -> str:
+    how = fields.get('how', fields.get('phase', 'recorded'))
+    number = fields.get('number')
     shown = f', exit {number}' if how == 'failed' else ''
-    return f'{_ATTEMPT.format_map(words)} ended: {how}{shown}'
+    return f'{_ATTEMPT.format_map(fields)} ended: {how}{shown}'
 
 
-def _finished(words: _Words) -> str:
-    text = f'the job finished: {words["state"]}'
-    age, due = words.get('age_ms'), words.get('due_ms')
-    if not isinstance(age, int) or not isinstance(due, int):
+def _describe_job_end(fields: _Fields) -> str:
+    text = f'the job finished: {fields["state"]}'
+    age_ms, due_ms = fields.get('age_ms'), fields.get('due_ms')
+    if not isinstance(age_ms, int) or not isinstance(due_ms, int):
         return text
-    when = f'late by {shown_seconds(age - due)}' if age > due else 'in time'
-    after, until = shown_seconds(age), shown_seconds(due)
-    return f'{text}, {after} after acceptance, due at {until}: {when}'
+    verdict = (
+        f'late by {format_seconds(age_ms - due_ms)}'
+        if age_ms > due_ms
+        else 'in time'
+    )
+    age, due = format_seconds(age_ms), format_seconds(due_ms)
+    return f'{text}, {age} after acceptance, due at {due}: {verdict}'
 
 
-def _other(words: _Words) -> str:
+def _describe_other(fields: _Fields) -> str:
     pairs = ' '.join(
-        f'{name}={words[name]}' for name in words if name not in _OWN_FIELDS
+        f'{name}={fields[name]}'
+        for name in fields
+        if name not in _HEADER_FIELDS
     )
-    return f'{words["name"]} {pairs}'
+    return f'{fields["name"]} {pairs}'
 
 
-_SENTENCE_BY_EVENT: Final[Mapping[int, _Tell]] = MappingProxyType(
+_DESCRIBE_BY_EVENT: Final[Mapping[int, _Describe]] = MappingProxyType(
     {
-        Event.JOB_FINISHED: _finished,
-        Event.REQUEST_REFUSED: _refused,
-        Event.TASK_FINISHED: _ended,
-        Event.TASK_LAPSED: _lapsed,
-        Event.TASK_PLACED: _placed,
-        Event.TASK_REFUSED: _start_refused,
+        Event.JOB_FINISHED: _describe_job_end,
+        Event.REQUEST_REFUSED: _describe_refusal,
+        Event.TASK_FINISHED: _describe_end,
+        Event.TASK_LAPSED: _describe_lapse,
+        Event.TASK_PLACED: _describe_placement,
+        Event.TASK_REFUSED: _describe_start_refusal,
     }
 )
--- a/hyssopring/cli/log_spans.py
+++ b/hyssopring/cli/log_spans.py
@@ -1,17 +1,17 @@
-"""The spans of time that a story's lines tell of, each with its cause."""
+"""Derives spans of a job's time from log lines, each with its cause."""
 
 import enum
 from dataclasses import dataclass
 from types import MappingProxyType
 from typing import Final, Iterable, Iterator, Mapping, Sequence
 
-from hyssopring.cli.log_absences import Absence, millis_of
 from hyssopring.cli.log_lines import LogLine
+from hyssopring.cli.log_outages import StoreOutage, millis_of
 from hyssopring.logs import Event
 
-__all__ = ('Rank', 'Span', 'absent_spans', 'told_spans')
+__all__ = ('Certainty', 'Span', 'spans_of_lines', 'spans_of_outages')
 
-_STEPS: Final = frozenset(
+_STEP_EVENTS: Final = frozenset(
     (Event.TASK_PLACED, Event.TASK_FINISHED, Event.TASK_LAPSED)
 )
 _CAUSE_BY_REASON: Final[Mapping[str, str]] = MappingProxyType(
@@ -23,45 +23,57 @@
 )
 
 
-class Rank(enum.IntEnum):
-    """How sure a span's cause is; the surest first."""
+class Certainty(enum.IntEnum):
+    """How certain the cause of a span is; the most certain first.
 
-    TOLD = 0
+    Attributes:
+        LOGGED: A log line states the cause.
+        INFERRED: The cause follows from the order of events.
+        RUN: The span is the run of a task.
+    """
+
+    LOGGED = 0
     INFERRED = 1
     RUN = 2
 
 
 @dataclass(frozen=True)
 class Span:
-    """A stretch of the job's time and what it was spent on."""
+    """A part of the job's time.
+
+    Attributes:
+        millis: The length in milliseconds.
+        cause: What the time was spent on, for the operator.
+        certainty: How certain the cause is.
+    """
 
     millis: float
     cause: str
-    rank: Rank = Rank.TOLD
+    certainty: Certainty = Certainty.LOGGED
 
 
-def told_spans(lines: Sequence[LogLine]) -> Iterator[Span]:
+def spans_of_lines(lines: Sequence[LogLine]) -> Iterator[Span]:
     """Yield waits, changes of owner and steps of tasks, in no order."""
-    yield from _handovers(lines)
-    yield from _waits(lines)
+    yield from _ownership_gaps(lines)
+    yield from _keeper_waits(lines)
     accepted = _first(reversed(lines), Event.JOB_ACCEPTED)
-    first = _first(lines, Event.TASK_PLACED)
-    if accepted is not None and first is not None:
-        wait = millis_of(first.at - accepted.at)
+    first_placed = _first(lines, Event.TASK_PLACED)
+    if accepted is not None and first_placed is not None:
+        wait_ms = millis_of(first_placed.at - accepted.at)
         cause = 'no room, or more urgent work first'
-        yield Span(wait, cause, Rank.INFERRED)
+        yield Span(wait_ms, cause, Certainty.INFERRED)
     last_by_task: dict[str, LogLine] = {}
     for line in lines:
         task = str(line.record.get('task', ''))
         before = last_by_task.get(task)
         if before is not None:
-            yield from _between(before, line)
-        if task and line.event in _STEPS:
+            yield from _step_spans(before, line)
+        if task and line.event in _STEP_EVENTS:
             last_by_task[task] = line
 
 
-def _between(before: LogLine, line: LogLine) -> Iterator[Span]:
-    """Return the span between two steps of a task, if it says something."""
+def _step_spans(before: LogLine, line: LogLine) -> Iterator[Span]:
+    """Yield the span between two steps of a task, if it has a known cause."""
     millis = millis_of(line.at - before.at)
     steps = (before.event, line.event)
     how = before.record.get('how')
@@ -72,44 +84,49 @@
         )
     elif steps == (Event.TASK_PLACED, Event.TASK_FINISHED):
         cause = 'the worker is slow, or the task was slowed down (3026)'
-        yield Span(millis, cause, Rank.RUN)
+        yield Span(millis, cause, Certainty.RUN)
     elif steps == (Event.TASK_FINISHED, Event.TASK_PLACED):
         if how == 'stopped':
-            cause = 'moved: its worker left, or held still beside keepers'
-            yield Span(millis, cause, Rank.INFERRED)
+            cause = 'moved: its worker left, or it was throttled'
+            yield Span(millis, cause, Certainty.INFERRED)
 
 
-def _handovers(lines: Sequence[LogLine]) -> Iterator[Span]:
-    """Return how long the shard had no owner that wrote, at most.
+def _ownership_gaps(lines: Sequence[LogLine]) -> Iterator[Span]:
+    """Yield the longest time for which the shard may have had no owner.
 
-    An owner that dies writes no line, so that the time is counted from the
-    last line of the story before the next owner's first.
+    An owner that crashes logs nothing, so the time is counted from the line
+    before the next owner's first line.
     """
     for before, line in zip(lines, lines[1:], strict=False):
         if line.event == Event.SHARD_ACQUIRED:
-            unheard = line.record.get('unheard', 'unknown')
-            cause = f'at most: the owner died or gave way ({unheard} unheard)'
+            unreported = line.record.get('unheard', 'unknown')
+            cause = (
+                f'at most: the owner died or gave way ({unreported} unheard)'
+            )
             yield Span(millis_of(line.at - before.at), cause)
 
 
-def _waits(lines: Sequence[LogLine]) -> Iterator[Span]:
-    """Return how long lasting tasks waited, with the owner's reason."""
+def _keeper_waits(lines: Sequence[LogLine]) -> Iterator[Span]:
+    """Yield how long keepers waited for a worker, with the logged reason."""
     for line in lines:
         if line.event == Event.TASK_WAITING:
             record = line.record
             reason = record.get('reason', 'unknown')
-            about = f'{reason} {record.get("agents", "")}'.strip()
-            cause = f'a lasting task waited: {about}'
+            detail = f'{reason} {record.get("agents", "")}'.strip()
+            cause = f'a lasting task waited: {detail}'
             yield Span(float(record.get('waited_ms', 0)), cause)
 
 
-def absent_spans(away: Sequence[Absence], sources: set[str]) -> Iterator[Span]:
-    """Return the absences from processes that wrote of the job or shard."""
-    for absence in away:
-        if absence.source not in sources:
+def spans_of_outages(
+    outages: Sequence[StoreOutage],
+    sources: set[str],
+) -> Iterator[Span]:
+    """Yield the outages of the processes in ``sources``."""
+    for outage in outages:
+        if outage.source not in sources:
             continue
-        cause = f'the store was away from {absence.source}'
-        yield Span(absence.millis, cause)
+        cause = f'the store was away from {outage.source}'
+        yield Span(outage.millis, cause)
 
 
 def _first(lines: Iterable[LogLine], event: Event) -> LogLine | None:
--- a/hyssopring/cli/tables.py
+++ b/hyssopring/cli/tables.py
@@ -1,25 +1,27 @@
-"""Plain tables for people."""
+"""Renders plain text tables."""
 
 from typing import Any, Mapping, Sequence
 
 __all__ = ('render_table',)
 
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 
 def render_table(
     columns: Sequence[str],
     rows: Sequence[Mapping[str, Any]],
 ) -> str:
-    """Return one line per row under a heading; numbers to the right."""
-    cells = [[_text(row.get(column)) for column in columns] for row in rows]
+    """Return a table: a heading, then a line a row; numbers right-aligned."""
+    cells = [
+        [_format_cell(row.get(column)) for column in columns] for row in rows
+    ]
     widths = [
         max(len(column), *(len(line[index]) for line in cells), 0)
         for index, column in enumerate(columns)
     ]
     lines = [columns, *cells]
     return '\n'.join(
-        _GAP.join(
+        _COLUMN_GAP.join(
             text.rjust(width) if _is_number(text) else text.ljust(width)
             for text, width in zip(line, widths, strict=True)
         ).rstrip()
@@ -27,7 +29,7 @@
     )
 
 
-def _text(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     if cell is None or cell == '':
         return '-'
     if isinstance(cell, bool):
@@ -35,9 +37,11 @@
     if isinstance(cell, float):
         return f'{cell:.1f}'
     if isinstance(cell, dict):
-        return ' '.join(f'{key}={_text(cell[key])}' for key in sorted(cell))
+        return ' '.join(
+            f'{key}={_format_cell(cell[key])}' for key in sorted(cell)
+        )
     if isinstance(cell, list):
-        return ', '.join(_text(each) for each in cell) or '-'
+        return ', '.join(_format_cell(element) for element in cell) or '-'
     return ' '.join(str(cell).split())
 
 
