--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line without a deployment: usage, help, settings files."""
+"""Tests of the command line without processes: usage, help, settings."""
 
 import pathlib
 import time
@@ -13,18 +13,19 @@
 
 
 def run(capsys, *arguments):
+    """Return the exit code, standard output and standard error."""
     try:
         main(arguments)
     except SystemExit as stop:
         code = int(stop.code)
     else:
         code = 0
-    seen = capsys.readouterr()
-    return code, seen.out, seen.err
+    captured = capsys.readouterr()
+    return code, captured.out, captured.err
 
 
 @pytest.mark.parametrize(
-    ('arguments', 'words'),
+    ('arguments', 'message'),
     [
         ([], 'no command'),
         (['bogus'], 'unknown command bogus'),
@@ -47,64 +48,69 @@
     ],
 )
 def test_wrong_usage_is_one_line_and_exit_code_2(
-    capsys, monkeypatch, arguments, words
+    capsys, monkeypatch, arguments, message
 ):
     for name in ('ENTRY', 'TOKEN', 'SETTINGS'):
         monkeypatch.delenv(f'HYSSOPRING_{name}', raising=False)
     code, out, err = run(capsys, *arguments)
     assert (code, out, err.count('\n')) == (2, '', 1), err
-    assert words in err
+    assert message in err
 
 
-def test_no_entry_is_exit_code_3(capsys):
+def test_unreachable_entry_is_exit_code_3(capsys):
     code, _, err = run(capsys, 'status', TOKEN, '--entry=127.0.0.1:9')
     assert (code, err.count('\n')) == (3, 1)
 
 
 def test_help_is_plain_text_and_names_every_command(capsys, monkeypatch):
-    """A pager would be a process; the parser's own help opens one."""
+    """Guards against the parser's own help, which starts a pager process."""
     monkeypatch.setattr('subprocess.Popen', lambda *_, **__: pytest.fail())
-    code, page, err = run(capsys, '--help')
-    assert (code, err) == (0, '') and '\x1b' not in page
+    code, program_help, err = run(capsys, '--help')
+    assert (code, err) == (0, '') and '\x1b' not in program_help
     for name in command_names():
-        assert f'\n  {name} ' in page
-        code, own, _ = run(capsys, name, '--help')
-        assert code == 0 and own.startswith(f'usage: hyssopring {name}')
+        assert f'\n  {name} ' in program_help
+        code, help_text, _ = run(capsys, name, '--help')
+        assert code == 0 and help_text.startswith(f'usage: hyssopring {name}')
 
 
-def test_check_tells_the_role_by_the_files_shape(capsys):
+def test_check_infers_the_role_from_the_keys(capsys):
     path = ROOT / 'examples/hemeroteca/agents/agent-01.json'
     code, out, _ = run(capsys, 'check', str(path))
     assert (code, out) == (0, f'{path}: good AgentSettings\n')
     assert run(capsys, 'check', str(path), '--role=entry')[0] == 2
 
 
-# A settings file of any length gets an answer soon. The reader of JSON with
-# comments took 21.7 s for 1 MB; this file has over 1 MB, and the limit, in
-# seconds of processor time, has room for a slow machine.
-LONG_S = 15
-LONG = ', '.join(f'"key-{n}": {{"a": {n}}}' for n in range(60_000))
+# The parser of JSON with comments took 21.7 s for 1 MB, so it accepts at most
+# 65536 characters. These members are over 1 MB long; the limit is in seconds of
+# processor time and has a margin for a slow machine.
+MAX_CPU_S = 15
+LONG_MEMBERS = ', '.join(f'"key-{n}": {{"a": {n}}}' for n in range(60_000))
 
 
 @pytest.mark.parametrize(
-    ('text', 'words'),
+    ('text', 'message'),
     [
-        (f'{{{LONG}}}', 'unknown key'),
-        (f'// ours\n{{{LONG}}}', 'with comments at most 65536 characters'),
-        (f'{{{LONG}, "key-7": 1}}', 'an object names a key twice'),
-        (f'{{{LONG}', 'with comments at most 65536 characters'),
+        (f'{{{LONG_MEMBERS}}}', 'unknown key'),
+        (
+            f'// ours\n{{{LONG_MEMBERS}}}',
+            'with comments at most 65536 characters',
+        ),
+        (f'{{{LONG_MEMBERS}, "key-7": 1}}', 'an object names a key twice'),
+        (f'{{{LONG_MEMBERS}', 'with comments at most 65536 characters'),
         ('[' * 100_000, 'is not JSON with comments'),
     ],
     ids=('plain', 'comments', 'twice', 'cut', 'deep'),
 )
-def test_a_long_settings_file_is_answered_soon(capsys, tmp_path, text, words):
+def test_a_long_settings_file_is_refused_quickly(
+    capsys, tmp_path, text, message
+):
     path = tmp_path / 'long.json'
     path.write_text(text)
-    started = time.process_time()
+    started_s = time.process_time()
     code, out, err = run(capsys, 'check', str(path), '--role=operator')
-    assert time.process_time() - started < LONG_S
+    assert time.process_time() - started_s < MAX_CPU_S
     assert (code, out, err.count('\n')) == (2, '', 1)
-    assert words in err and len(err) < 1000
+    assert message in err and len(err) < 1000
 
 
 @pytest.mark.parametrize(
@@ -114,7 +120,7 @@
         '{"entry": "127.0.0.1:7002", "token": "0123456789abcdef"}',
     ],
 )
-def test_a_short_file_may_have_comments(capsys, tmp_path, text):
+def test_a_short_settings_file_may_have_comments(capsys, tmp_path, text):
     path = tmp_path / 'short.json'
     path.write_text(text)
     assert run(capsys, 'check', str(path))[0] == 0
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's separate processes, over real sockets."""
+"""Tests of the demo: separate processes that talk over sockets."""
 
 import pathlib
 import re
@@ -11,7 +11,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-def test_demo_answers_every_booking_and_completes_the_job():
+def test_demo_answers_all_bookings_and_completes_the_job():
     run = subprocess.run(
         [sys.executable, '-m', 'demo'],
         capture_output=True,
@@ -21,43 +21,50 @@
     assert run.returncode == 0, run.stdout + run.stderr
 
 
-def test_demo_that_stays_prints_what_the_readme_says_and_it_works():
-    run = subprocess.Popen(
+def test_commands_of_the_staying_demo_match_the_readme_and_work():
+    demo = subprocess.Popen(
         [sys.executable, '-m', 'demo', '--stay'],
         cwd=ROOT,
         stdout=subprocess.PIPE,
         text=True,
     )
     try:
-        printed = read_commands(run.stdout)
-        assert named(printed) == commands_of_the_readme()
-        *before, explained = [
+        printed = read_commands(demo.stdout)
+        assert with_placeholders(printed) == commands_of_the_readme()
+        *setup, explain = [
             line.replace(
                 '.venv/bin/hyssopring', f'{sys.executable} -m hyssopring'
             )
             for line in printed
         ]
-        # A person types slower than a task is placed; before that the command
-        # succeeds too, and says that the task waits.
-        again = (
-            f'for _ in $(seq 20); do told=$({explained}) || true; '
-            'echo "$told"; [[ $told == *TASK_PLACED* ]] && exit; '
+        # Retries until the task is placed; until then the command succeeds and
+        # shows that the task waits.
+        explain_until_placed = (
+            f'for _ in $(seq 20); do output=$({explain}) || true; '
+            'echo "$output"; [[ $output == *TASK_PLACED* ]] && exit; '
             'sleep 0.5; done'
         )
-        seen = subprocess.run(
-            ['bash', '-eu', '-c', '\n'.join([*before, again, 'exit 1'])],
+        shell = subprocess.run(
+            [
+                'bash',
+                '-eu',
+                '-c',
+                '\n'.join([*setup, explain_until_placed, 'exit 1']),
+            ],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=60,
         )
-        assert seen.returncode == 0, seen.stdout + seen.stderr
-        assert '200 OK' in seen.stdout and 'noon-feed: accepted' in seen.stdout
-        assert 'TASK_PLACED' in seen.stdout
+        assert shell.returncode == 0, shell.stdout + shell.stderr
+        assert (
+            '200 OK' in shell.stdout and 'noon-feed: accepted' in shell.stdout
+        )
+        assert 'TASK_PLACED' in shell.stdout
     finally:
-        run.send_signal(signal.SIGTERM)
-        run.wait(30)
-        run.stdout.close()
+        demo.send_signal(signal.SIGTERM)
+        demo.wait(30)
+        demo.stdout.close()
 
 
 def read_commands(stream):
@@ -71,8 +78,8 @@
     return printed
 
 
-def named(printed):
-    """Put the README's names for what differs from run to run."""
+def with_placeholders(printed):
+    """Replace ports and token by the README's placeholders."""
     callers = re.search(r'http://127.0.0.1:([0-9]+)/trust', printed[0])[1]
     operators = re.search(r'http://127.0.0.1:([0-9]+)/v1', printed[1])[1]
     assert callers != operators
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages: every command runs as written, every link leads somewhere."""
+"""Tests of the docs: commands run as written, links and events exist."""
 
 import os
 import pathlib
@@ -19,12 +19,12 @@
 
 @pytest.fixture(scope='module')
 def environment(tmp_path_factory):
-    work = tmp_path_factory.mktemp('pages')
-    command = work / 'bin' / 'hyssopring'
+    work_path = tmp_path_factory.mktemp('pages')
+    command = work_path / 'bin' / 'hyssopring'
     command.parent.mkdir()
     command.write_text(f'#!/bin/sh\nexec {sys.executable} -m hyssopring "$@"\n')
     command.chmod(0o755)
-    deployment = Deployment(work=work)
+    deployment = Deployment(work=work_path)
     deployment.start()
     try:
         deployment.wait_ready()
@@ -63,18 +63,18 @@
         assert Event[name] == int(number)
 
 
-def test_stories_of_the_page_on_failures_are_what_its_lines_give(
+def test_explain_logs_prints_what_the_operations_page_shows(
     capsys, tmp_path, monkeypatch
 ):
-    """The page's own JSON lines are the file; its consoles show the answer."""
+    """Run the page's commands on a log file of the page's JSON lines."""
     text = (ROOT / 'docs' / 'OPERATIONS.md').read_text()
     lines = re.findall(r'^```json\n(.*?)^```', text, re.S | re.M)
     (tmp_path / 'entry-1.log').write_text(''.join(lines))
     monkeypatch.chdir(tmp_path)
-    shown = re.findall(
+    consoles = re.findall(
         r'^```console\n\$ hyssopring ([^\n]*)\n(.*?)^```', text, re.S | re.M
     )
-    assert len(shown) == 2
-    for command, story in shown:
+    assert len(consoles) == 2
+    for command, output in consoles:
         main(command.split())
-        assert capsys.readouterr().out == story
+        assert capsys.readouterr().out == output
--- a/tests/test_explain_logs.py
+++ b/tests/test_explain_logs.py
@@ -1,4 +1,4 @@
-"""`hyssopring explain logs`: a job's story from the lines of processes."""
+"""Tests of `hyssopring explain logs`: a job's timeline from log files."""
 
 import json
 import tracemalloc
@@ -10,7 +10,7 @@
 
 JOB = '00000000000000a1'
 TASK = f'{JOB}.0.0.0'
-NUMBERS = {
+NUMBER_BY_EVENT = {
     'REQUEST_REFUSED': 1003,
     'AGENT_DISCONNECTED': 2002,
     'CONNECTION_SILENT': 2007,
@@ -37,7 +37,12 @@
 
 def line(second, name, **fields):
     stamp = f'2026-05-05T23:{int(second // 60):02}:{second % 60:06.3f}'
-    head = {'at': stamp, 'level': 'INFO', 'event': NUMBERS[name], 'name': name}
+    head = {
+        'at': stamp,
+        'level': 'INFO',
+        'event': NUMBER_BY_EVENT[name],
+        'name': name,
+    }
     return json.dumps({**head, **fields})
 
 
@@ -96,17 +101,17 @@
 
 @pytest.fixture
 def explain(capsys, tmp_path):
-    def run(*files, flag=f'--job={JOB}'):
+    def run(*lines_by_file, flag=f'--job={JOB}'):
         paths = []
-        for number, lines in enumerate(files):
+        for number, lines in enumerate(lines_by_file):
             path = tmp_path / f'entry-{number}.log'
             text = lines if isinstance(lines, str) else '\n'.join(lines) + '\n'
             path.write_text(text)
             paths.append(str(path))
         main(['explain', 'logs', *paths, flag])
-        seen = capsys.readouterr()
-        assert not seen.err and str(tmp_path) not in seen.out
-        return seen.out.splitlines()
+        captured = capsys.readouterr()
+        assert not captured.err and str(tmp_path) not in captured.out
+        return captured.out.splitlines()
 
     return run
 
@@ -124,9 +129,9 @@
 
 
 def test_a_job_that_was_given_up_names_the_crashes(explain):
-    """Guards against a failed job whose story has no reason."""
+    """Guards against a failed job whose timeline names no cause."""
     started = f'{TASK}/1 {JOB[:-1]}b.0.0.0/1'
-    story = explain(
+    timeline = explain(
         [
             accepted(1),
             placed(1.1),
@@ -146,18 +151,18 @@
         ],
         [line(4, 'WORKER_CRASHED', boot='b', attempts=9, started=started)],
     )
-    text = '\n'.join(story)
+    text = '\n'.join(timeline)
     assert 'the worker crashed with 9 attempts' in text
     assert 'as a suspect, alone, on side-2' in text
     assert 'crash 2 in a row, isolated' in text
-    assert story[-1] == (
+    assert timeline[-1] == (
         f'Likely cause: {TASK} crashes the workers that start it: 3 crashes, '
         'on side-1 side-2 side-3'
     )
 
 
-def test_a_story_of_two_processes_is_told_in_order_of_time(explain):
-    story = explain(
+def test_lines_of_two_processes_are_in_order_of_time(explain):
+    timeline = explain(
         [
             line(9, 'SHARD_ACQUIRED', shard=0, reign=5, jobs=1, unheard=2),
             placed(10, 2, agent='side-2', reign=5, resumed=True),
@@ -181,7 +186,7 @@
             line(2, 'SHARD_LOST', shard=0, reign=4),
         ],
     )
-    assert [each.split(' ', 1)[1] for each in story[:-1]] == [
+    assert [text.split(' ', 1)[1] for text in timeline[:-1]] == [
         'entry-1.log: accepted in queue feed with 1 tasks',
         f'entry-1.log: {TASK} attempt 1 is placed on side-1 under reign 4 '
         '(report 80 ms old, grant 90 ms old)',
@@ -196,12 +201,12 @@
         'entry-0.log: the job finished: completed, 11.0 s after acceptance, '
         'due at 5.0 s: late by 6.0 s',
     ]
-    assert story[0].startswith('2026-05-05T23:00:00.000 ')
-    assert story[-1].startswith('Likely cause: 7.0 s: at most: the owner')
+    assert timeline[0].startswith('2026-05-05T23:00:00.000 ')
+    assert timeline[-1].startswith('Likely cause: 7.0 s: at most: the owner')
 
 
-def test_a_refusal_names_the_store_s_absence_as_an_interval(explain):
-    story = explain(
+def test_a_refusal_names_the_outage_of_the_store(explain):
+    timeline = explain(
         [
             line(1, 'STORE_UNREACHABLE', detail='503'),
             line(
@@ -215,14 +220,14 @@
             line(50, 'STORE_UNREACHABLE', detail='another day'),
         ]
     )
-    assert story[0].endswith('the store was away for 4.0 s: 503')
-    assert story[1].endswith(
+    assert timeline[0].endswith('the store was away for 4.0 s: 503')
+    assert timeline[1].endswith(
         'refused: store-unavailable: the store answered 503'
     )
-    assert story[2] == (
+    assert timeline[2] == (
         'Likely cause: store-unavailable; the store was away from that entry'
     )
-    assert len(story) == 3
+    assert len(timeline) == 3
 
 
 @pytest.mark.parametrize(
@@ -234,25 +239,25 @@
         ([placed(0), lapsed(8, 'not listed'), placed(8, 2), ended(9, 'done', 2)], '8.0 s: not listed: the worker crashed'),
         ([line(8, 'SHARD_ACQUIRED', shard=0, reign=5, jobs=1, unheard=2), placed(8), ended(9, 'done')], '8.0 s: at most: the owner died'),
         ([placed(0), ended(1, 'stopped'), placed(8, 2), ended(9, 'done', 2)], '7.0 s: moved'),
-        # The wait contains the change of owner, which explains it.
+        # The wait contains the change of owner, whose cause was logged.
         ([line(8, 'SHARD_ACQUIRED', shard=0, reign=5, jobs=1, unheard=2), placed(8.5), ended(9, 'done')], '8.0 s: at most: the owner died'),
         ([line(1, 'STORE_UNREACHABLE', detail='x'), line(8.5, 'STORE_RECOVERED'), placed(0), ended(9, 'done')], '7.5 s: the store was away'),
     ],
 )  # fmt: skip
-def test_each_row_of_the_table_of_causes_is_found(explain, lines, cause):
-    story = explain([accepted(0), *lines, finished(9, 9000, 2000)])
-    assert story[-1].startswith(f'Likely cause: {cause}')
+def test_each_documented_cause_of_a_late_job_is_found(explain, lines, cause):
+    timeline = explain([accepted(0), *lines, finished(9, 9000, 2000)])
+    assert timeline[-1].startswith(f'Likely cause: {cause}')
 
 
 def test_a_job_in_time_has_no_cause(explain):
     lines = [accepted(0), placed(0), ended(9, 'done'), finished(9, 9000, 9500)]
-    story = explain(lines)
-    assert story[-2].endswith('due at 9.5 s: in time')
-    assert story[-1] == 'Likely cause: none is seen; it did not end late'
+    timeline = explain(lines)
+    assert timeline[-2].endswith('due at 9.5 s: in time')
+    assert timeline[-1] == 'Likely cause: none is seen; it did not end late'
 
 
 def test_a_failed_job_names_its_attempts_and_agents(explain):
-    story = explain(
+    timeline = explain(
         [
             accepted(0),
             placed(0),
@@ -262,58 +267,65 @@
             finished(3, 3000, 9000, 'failed'),
         ]
     )
-    assert story[2].endswith('ended: failed, exit 139')
-    assert f'2 failed attempts, the last of {TASK} on side-1' in story[-1]
+    assert timeline[2].endswith('ended: failed, exit 139')
+    assert f'2 failed attempts, the last of {TASK} on side-1' in timeline[-1]
 
 
-def test_one_task_is_told_without_the_others(explain):
+def test_a_timeline_of_one_task_omits_other_tasks(explain):
     lines = [accepted(0), placed(0), placed(1, task=f'{JOB}.0.0.1')]
     lines.extend(
         line(2, 'AGENT_LEFT', agent=agent, boot='b', ends=0)
         for agent in ('side-1', 'side-9')
     )
-    story = explain(lines, flag=f'--task={TASK}')
-    assert f'{JOB}.0.0.1' not in '\n'.join(story)
-    assert 'side-1 ended with its worker' in story[2]
-    assert len(story) == 4
+    timeline = explain(lines, flag=f'--task={TASK}')
+    assert f'{JOB}.0.0.1' not in '\n'.join(timeline)
+    assert 'side-1 ended with its worker' in timeline[2]
+    assert len(timeline) == 4
 
 
-def test_a_story_begins_with_the_owner_of_its_time_and_none_before(explain):
-    owners = [
+def test_a_timeline_starts_with_the_owner_at_that_time(explain):
+    owner_lines = [
         line(second, 'SHARD_ACQUIRED', shard=0, reign=reign, jobs=1, unheard=0)
         for second, reign in ((1, 2), (5, 3), (60, 4))
     ]
-    rest = [accepted(9), placed(9), ended(10, 'done'), finished(10, 900, 800)]
-    story = explain([*owners, *rest])
-    assert 'took shard 0 under reign 3' in story[0]
-    assert 'reign 2' not in '\n'.join(story) and len(story) == 6
-    assert story[-1] == 'Likely cause: 1.0 s: the worker is slow, or the ' + (
+    job_lines = [
+        accepted(9),
+        placed(9),
+        ended(10, 'done'),
+        finished(10, 900, 800),
+    ]
+    timeline = explain([*owner_lines, *job_lines])
+    assert 'took shard 0 under reign 3' in timeline[0]
+    assert 'reign 2' not in '\n'.join(timeline) and len(timeline) == 6
+    assert timeline[
+        -1
+    ] == 'Likely cause: 1.0 s: the worker is slow, or the ' + (
         'task was slowed down (3026)'
     )
 
 
-def test_a_prefix_names_the_process(explain):
-    story = explain(
+def test_the_prefix_of_a_collector_names_the_process(explain):
+    timeline = explain(
         [
             f'[ 812.250] side-kgl-1 | {accepted(0)}',
             f'2026-05-05T23:00:01.1Z side-kgl-2 {placed(1)}',
         ]
     )
-    assert [each.split()[1] for each in story[:2]] == [
+    assert [text.split()[1] for text in timeline[:2]] == [
         'side-kgl-1:',
         'side-kgl-2:',
     ]
 
 
-def test_cut_and_foreign_lines_are_counted_and_hide_nothing(explain):
-    whole = placed(1)
-    story = explain(
+def test_malformed_lines_are_counted_and_skipped(explain):
+    complete_line = placed(1)
+    timeline = explain(
         '\n'.join(
             (
                 'Traceback (most recent call last):',
                 f'GET /jobs/{JOB} 200',
-                accepted(0)[:70] + whole,
-                whole[: len(whole) - 5],
+                accepted(0)[:70] + complete_line,
+                complete_line[: len(complete_line) - 5],
                 '{"at": ' + '[' * 100_000 + JOB,
                 f'{{"at": 7, "event": 3012, "job": "{JOB}"}}',
                 f'{{"at": "noon", "event": 3012, "job": "{JOB}"}}',
@@ -325,52 +337,54 @@
             )
         )
     )
-    assert len(story) == 4, story
-    assert 'attempt 1 is placed on side-1' in story[0]
-    assert story[1].endswith(f"NEW job={JOB} more={{'a': [1]}}")
-    assert story[2] == '6 lines that may matter are cut or foreign and left out'
-    assert story[3] == 'Likely cause: none is seen'
+    assert len(timeline) == 4, timeline
+    assert 'attempt 1 is placed on side-1' in timeline[0]
+    assert timeline[1].endswith(f"NEW job={JOB} more={{'a': [1]}}")
+    assert (
+        timeline[2] == '6 lines that may matter are cut or foreign and left out'
+    )
+    assert timeline[3] == 'Likely cause: none is seen'
 
 
-def test_fields_that_are_missing_or_of_another_kind_are_no_error(explain):
+def test_fields_that_are_missing_or_of_another_type_are_no_error(explain):
     stamp = '"at": "2026-05-05T23:00:00"'
-    story = explain(
+    timeline = explain(
         [
             f'{{{stamp}, "event": {number}, "job": "{JOB}", "task": 7}}'
-            for number in NUMBERS.values()
+            for number in NUMBER_BY_EVENT.values()
         ]
     )
-    assert len(story) >= len(NUMBERS) - 2
-    assert 'unknown' in '\n'.join(story)
+    assert len(timeline) >= len(NUMBER_BY_EVENT) - 2
+    assert 'unknown' in '\n'.join(timeline)
 
 
-def test_a_job_that_no_line_names_is_said_so(explain):
+def test_a_job_that_no_line_names_is_reported(explain):
     assert explain([accepted(0, job='00000000000000a2')]) == [
         'no line names it: it did not reach these processes'
     ]
 
 
-def test_lines_of_others_take_no_memory(tmp_path):
+def test_lines_of_other_jobs_take_no_memory(tmp_path):
     path = tmp_path / 'long.log'
-    other = placed(1, task='00000000000000a2.0.0.0') + '\n'
+    other_line = placed(1, task='00000000000000a2.0.0.0') + '\n'
     with path.open('w') as stream:
         for _ in range(20):
-            stream.write(other * 2000)
+            stream.write(other_line * 2000)
         stream.write('x' * 4_000_000)
         stream.write(f'\n{accepted(0)}\n')
     assert path.stat().st_size > 10_000_000
     tracemalloc.start()
     try:
         found = find_lines([str(path)], Subject(JOB))
-        peak = tracemalloc.get_traced_memory()[1]
+        peak_bytes = tracemalloc.get_traced_memory()[1]
     finally:
         tracemalloc.stop()
     assert len(found.lines) == 1
-    assert peak < 2_000_000
+    assert peak_bytes < 2_000_000
 
 
 @pytest.mark.parametrize(
-    ('arguments', 'words'),
+    ('arguments', 'message'),
     [
         ([f'--job={JOB}'], 'FILE is missing'),
         (['some.log'], 'use one of --job=ID and --task=NAME'),
@@ -379,12 +393,12 @@
         (['some.log', '--jobs=a'], 'unknown argument --jobs'),
     ],
 )
-def test_wrong_usage_is_one_line(capsys, arguments, words):
+def test_wrong_usage_is_one_line(capsys, arguments, message):
     with pytest.raises(SystemExit) as stop:
         main(['explain', 'logs', *arguments])
     err = capsys.readouterr().err
     assert stop.value.code == 2 and err.count('\n') == 1
-    assert words in err
+    assert message in err
 
 
 def test_a_lapse_names_both_incarnations_of_the_worker(explain):
--- a/tests/test_explain_logs_waits.py
+++ b/tests/test_explain_logs_waits.py
@@ -1,4 +1,4 @@
-"""`hyssopring explain logs --task`: why a lasting task did not run."""
+"""Tests of `hyssopring explain logs --task` for a keeper that waits."""
 
 import json
 
@@ -27,16 +27,14 @@
     )
 
 
-def test_a_wait_is_told_with_its_reason_and_named_as_the_cause(
-    tmp_path, capsys
-):
-    """A task that waited looked the same as one that nobody wanted."""
+def test_a_wait_is_shown_with_its_reason_and_as_the_cause(tmp_path, capsys):
+    """Guards against a waiting task that looks like an unwanted one."""
     ended = line(1, 3004, 'TASK_FINISHED', attempt=1, how='failed', number=7)
     log = tmp_path / 'entry-1.log'
     log.write_text('\n'.join([ended, waiting(6, 3000), waiting(11, 8000)]))
     main(['explain', 'logs', str(log), f'--task={TASK}'])
-    told = capsys.readouterr().out.splitlines()
-    assert 'has run nowhere for 8000 ms: unheard side-2 side-3' in told[-2]
-    assert told[-1] == (
+    timeline = capsys.readouterr().out.splitlines()
+    assert 'has run nowhere for 8000 ms: unheard side-2 side-3' in timeline[-2]
+    assert timeline[-1] == (
         'Likely cause: 8.0 s: a lasting task waited: unheard side-2 side-3'
     )
