--- a/bench/colocation.py
+++ b/bench/colocation.py
@@ -1,9 +1,9 @@
-"""What each mechanism of colocation is worth, in virtual time.
+"""Ablation benchmark of the colocation mechanisms, in virtual time.
 
-Plays drawn days (``bench/colocation_day.py``) with the product's own entries,
-agents and planner: as they are, and with one mechanism switched off or changed
-at a time. All variants play the same days. Printed are means over the seeds and
-the mean difference to the first variant with its standard error.
+Simulates random days (``bench/colocation_day.py``) with the real entries,
+agents and planner: unchanged, and with one mechanism disabled or changed at a
+time. All variants run the same days. Prints means over the seeds and the mean
+difference to the first variant with its standard error.
 
     python -m bench.colocation [--seeds 8] [--first 1] [--jobs 4]
         [--variants 'as it is,no pace'] [--plot docs/plots/colocation.svg]
@@ -34,11 +34,11 @@
 )
 
 
-def play(name, seed):
-    """Play one seed under one variant, in a process of its own."""
-    with ExitStack() as changed:
-        for change in VARIANTS_BY_NAME[name]:
-            changed.enter_context(change())
+def play(variant, seed):
+    """Simulate one seed under one variant; patches stay in this process."""
+    with ExitStack() as patches:
+        for change in VARIANTS_BY_NAME[variant]:
+            patches.enter_context(change())
         return Score.from_day(Day(seed).play())
 
 
@@ -47,50 +47,51 @@
     pairs = [(name, seed) for name in names for seed in seeds]
     with ProcessPoolExecutor(jobs, initializer=logger.remove) as pool:
         scores = pool.map(play, *zip(*pairs, strict=True))
-    found = {name: [] for name in names}
+    scores_by_variant = {name: [] for name in names}
     for (name, _seed), score in zip(pairs, scores, strict=True):
-        found[name].append(score)
-    return found
+        scores_by_variant[name].append(score)
+    return scores_by_variant
 
 
 def difference(scores, base):
     """Return the mean difference in worth and its standard error."""
-    apart = [
-        one.worth - other.worth for one, other in zip(scores, base, strict=True)
+    deltas = [
+        score.worth - base_score.worth
+        for score, base_score in zip(scores, base, strict=True)
     ]
     error = 0.0
-    if len(apart) > 1:
-        error = statistics.stdev(apart) / len(apart) ** 0.5
-    return statistics.mean(apart), error
+    if len(deltas) > 1:
+        error = statistics.stdev(deltas) / len(deltas) ** 0.5
+    return statistics.mean(deltas), error
 
 
-def table(found):
-    """Return the table's lines, in Markdown."""
+def table(scores_by_variant):
+    """Yield the lines of a Markdown table, one row per variant."""
     names = [name for name, _meaning in HEADINGS]
     yield f'| variant | difference | {" | ".join(names)} |'
     yield '|---' * (len(names) + 2) + '|'
-    base = next(iter(found.values()))
-    for variant, scores in found.items():
-        apart, error = difference(scores, base)
+    base = next(iter(scores_by_variant.values()))
+    for variant, scores in scores_by_variant.items():
+        mean_delta, error = difference(scores, base)
         figures = [
             statistics.mean(getattr(score, name) for score in scores)
             for name in names
         ]
-        told = ' | '.join(f'{figure:.3f}' for figure in figures)
-        yield f'| {variant} | {apart:+.3f} ± {error:.3f} | {told} |'
+        cells = ' | '.join(f'{figure:.3f}' for figure in figures)
+        yield f'| {variant} | {mean_delta:+.3f} ± {error:.3f} | {cells} |'
 
 
-def plot(found, path):
+def plot(scores_by_variant, path):
     """Draw each variant's difference with its standard error."""
     pyplot.rcParams['svg.hashsalt'] = 'hyssopring'
-    base = next(iter(found.values()))
-    others = list(found)[1:]
-    apart = [difference(found[name], base) for name in others]
+    base = next(iter(scores_by_variant.values()))
+    others = list(scores_by_variant)[1:]
+    deltas = [difference(scores_by_variant[name], base) for name in others]
     figure, axis = pyplot.subplots(figsize=(7, 0.4 + 0.3 * len(others)))
     axis.barh(
         others,
-        [mean for mean, _error in apart],
-        xerr=[error for _mean, error in apart],
+        [mean for mean, _error in deltas],
+        xerr=[error for _mean, error in deltas],
         color='#9bb',
     )
     axis.axvline(0, color='black', linewidth=0.8)
@@ -109,14 +110,16 @@
     parser.add_argument('--jobs', type=int, default=4)
     parser.add_argument('--variants', default=','.join(VARIANTS_BY_NAME))
     parser.add_argument('--plot')
-    given = parser.parse_args()
-    wanted = [name for name in given.variants.split(',') if name != AS_IT_IS]
-    seeds = range(given.first, given.first + given.seeds)
-    found = play_all([AS_IT_IS, *wanted], seeds, given.jobs)
-    for line in table(found):
+    arguments = parser.parse_args()
+    variants = [
+        name for name in arguments.variants.split(',') if name != AS_IT_IS
+    ]
+    seeds = range(arguments.first, arguments.first + arguments.seeds)
+    scores_by_variant = play_all([AS_IT_IS, *variants], seeds, arguments.jobs)
+    for line in table(scores_by_variant):
         print(line)
-    if given.plot:
-        plot(found, given.plot)
+    if arguments.plot:
+        plot(scores_by_variant, arguments.plot)
 
 
 if __name__ == '__main__':
--- a/bench/colocation_day.py
+++ b/bench/colocation_day.py
@@ -1,8 +1,9 @@
-"""A drawn day of keepers, fillers and small tasks on shared workers.
+"""A random day of keepers, best-effort and small tasks on shared workers.
 
-No deployment's figures: sizes, waves, pairs of images, bursts and losses come
-from a seed. Keepers reserve most of the workers and use less than half of what
-they reserve; fillers want the rest, and at times far more than that.
+The day is synthetic: sizes, load waves, pairs of images, bursts and outages
+are drawn from a seed. Keepers reserve most of the workers and use less than
+half of what they reserve; the demand of best-effort tasks for the rest at times
+far exceeds it.
 """
 
 import random
@@ -17,61 +18,67 @@
 WORKERS = 11
 CORES = (32, 32, 48)
 MEMORY_MB = 128_000
-# Keepers reserve this part of all cores.
-KEEPER_PART = 0.62
-OWNER_S = 3
-KEEPERS_S = 4
+# Share of all cores that keepers reserve.
+KEEPER_RESERVED_SHARE = 0.62
+ACQUISITION_S = 3
+KEEPER_START_S = 4
 LOAD_S = 36
-AFTER_S = 14
+COOLDOWN_S = 14
 LARGE_PER_S = 0.75
-# A burst of large jobs beyond what the workers can do in time.
-BURST_X = 2.6
+# A burst of large jobs exceeds what the workers can finish in time.
+BURST_FACTOR = 2.6
 BURST_S = 6
-AWAY_S = 5
+OUTAGE_S = 5
 TICK_S = 0.1
-GAP_S = 0.06
+SUBMIT_INTERVAL_S = 0.06
 MILLIS = 1000
-# A late job earns a little, up to so many times its aim.
+# A late job earns reduced credit, up to this multiple of its target time.
 LATE_CREDIT = 0.15
-LATEST = 3
+LATE_CREDIT_LIMIT_X = 3
 
 
 @dataclass
-class Handed:
-    """A job that was handed in, and how it went.
+class SubmittedJob:
+    """A submitted job and its progress.
 
     Attributes:
-        chain_s: Its longest chain of work.
-        work: Its core-seconds.
-        left: Its tasks that are not done.
+        submitted_at: When it was submitted, in seconds.
+        critical_path_s: The work on its critical path, in seconds.
+        work_core_s: Its core-seconds.
+        remaining_tasks: Names of its unfinished tasks.
+        ended_at: When its last task finished, or None.
     """
 
     job: Job
-    at: float
-    chain_s: float
-    work: float
-    left: set
+    submitted_at: float
+    critical_path_s: float
+    work_core_s: float
+    remaining_tasks: set
     ended_at: float | None = None
 
     @property
-    def aim_s(self):
-        """How long it may take."""
+    def target_s(self):
+        """The target time from submission to completion, in seconds."""
         queue = self.job.queue
-        return queue.slack_factor * self.chain_s + queue.target_ms / MILLIS
+        return (
+            queue.slack_factor * self.critical_path_s + queue.target_ms / MILLIS
+        )
 
     @property
     def credit(self):
-        """1 in time, a little when late, 0 after that."""
+        """1 when on time, `LATE_CREDIT` when late, 0 beyond the limit."""
         if self.ended_at is None:
             return 0
-        took_s = self.ended_at - self.at
-        if took_s <= self.aim_s:
+        took_s = self.ended_at - self.submitted_at
+        if took_s <= self.target_s:
             return 1
-        return LATE_CREDIT if took_s <= LATEST * self.aim_s else 0
+        return (
+            LATE_CREDIT if took_s <= LATE_CREDIT_LIMIT_X * self.target_s else 0
+        )
 
 
 class SharedDeployment(Deployment):
-    """Entries, agents and workers that tasks share."""
+    """A deployment whose workers run several tasks at once."""
 
     step_s = 0.02
 
@@ -92,12 +99,12 @@
 
 
 class Day:
-    """Plays one seed, and keeps what happened.
+    """Simulates the day of one seed and records its outcome.
 
     Attributes:
-        handed: Jobs by id.
-        times: What keepers have had since the load began.
-        keeper_s: Seconds that keepers should have been at work since then.
+        submitted_by_id: Submitted jobs by job id.
+        times: How long keepers ran and missed their target under load.
+        keeper_s: Keeper-seconds that should have run under load.
     """
 
     def __init__(self, seed):
@@ -109,7 +116,7 @@
         self.times = KeeperTimes()
         self.cores = [self.random.choice(CORES) for _ in range(WORKERS)]
         self.deployment = SharedDeployment(self)
-        self.handed = {}
+        self.submitted_by_id = {}
         self.keepers = 0
         self.keeper_s = 0
         self._ends_seen = 0
@@ -120,7 +127,7 @@
 
     def step_of(self, task):
         name = TaskName.from_text(task)
-        return self.handed[name.job_id].job.steps[name.step]
+        return self.submitted_by_id[name.job_id].job.steps[name.step]
 
     def work_s(self, task):
         return self.jobs.work_s_by_task[task]
@@ -129,81 +136,85 @@
         return self.jobs.appetite_by_task[task]
 
     def play(self):
-        """Play the whole day; return it."""
-        self.deployment.run(OWNER_S)
-        self._hand_in_keepers()
-        self.deployment.run(KEEPERS_S)
+        """Simulate the whole day and return it."""
+        self.deployment.run(ACQUISITION_S)
+        self._submit_keepers()
+        self.deployment.run(KEEPER_START_S)
         self.times = KeeperTimes()
-        self._plan_losses()
-        self._pass_load()
-        self._pass(AFTER_S)
+        self._schedule_outages()
+        self._run_load()
+        self._run(COOLDOWN_S)
         return self
 
-    def _pass_load(self):
+    def _run_load(self):
         begin = self.now
         burst_at = begin + self.random.uniform(5, 20)
         next_large = next_small = begin
         while self.now < begin + LOAD_S:
             is_burst = burst_at <= self.now < burst_at + BURST_S
-            rate = LARGE_PER_S * (BURST_X if is_burst else 1)
+            rate = LARGE_PER_S * (BURST_FACTOR if is_burst else 1)
             while next_large <= self.now:
-                self._hand_in(self.jobs.large())
+                self._submit(self.jobs.draw_large())
                 next_large += self.random.expovariate(rate)
             while next_small <= self.now:
-                self._hand_in(self.jobs.small())
+                self._submit(self.jobs.draw_small())
                 next_small += self.random.expovariate(SMALL_PER_S)
-            self._pass(TICK_S)
+            self._run(TICK_S)
 
-    def _pass(self, seconds):
+    def _run(self, seconds):
         self.deployment.run(seconds)
         self.keeper_s += self.keepers * seconds
         ends = self.deployment.book.ends
         for at, task, _number, how in ends[self._ends_seen :]:
             if how is AttemptEnd.DONE:
-                self._done(self.handed[task.split('.')[0]], task, at)
+                self._record_done(
+                    self.submitted_by_id[task.split('.')[0]], task, at
+                )
         self._ends_seen = len(ends)
 
     @staticmethod
-    def _done(handed, task, at):
-        handed.left.discard(task)
-        if not handed.left and handed.ended_at is None:
-            handed.ended_at = at
+    def _record_done(submitted, task, at):
+        submitted.remaining_tasks.discard(task)
+        if not submitted.remaining_tasks and submitted.ended_at is None:
+            submitted.ended_at = at
 
-    def _plan_losses(self):
-        """A worker or two are away for a while."""
+    def _schedule_outages(self):
+        """Schedule the crash and outage of one or two workers."""
         later = self.deployment.reactor.callLater
         for _loss in range(self.random.randint(1, 2)):
             wait_s = self.random.uniform(2, LOAD_S - 8)
             worker = self.random.choice(self.deployment.workers)
-            later(wait_s, self._lose, worker)
-            later(wait_s + AWAY_S, setattr, worker, 'is_dark', False)
+            later(wait_s, self._start_outage, worker)
+            later(wait_s + OUTAGE_S, setattr, worker, 'is_dark', False)
 
     @staticmethod
-    def _lose(worker):
+    def _start_outage(worker):
         worker.crash()
         worker.is_dark = True
 
-    def _hand_in_keepers(self):
-        """Hand keepers in until most of the room is reserved."""
-        left = sum(self.cores) * MILLIS * KEEPER_PART
-        while left > 0:
-            job = self.jobs.keepers()
+    def _submit_keepers(self):
+        """Submit keepers until their share of all cores is reserved."""
+        left_millis = sum(self.cores) * MILLIS * KEEPER_RESERVED_SHARE
+        while left_millis > 0:
+            job = self.jobs.draw_keepers()
             for step in job.steps:
-                left -= step.count * step.size.cpu_millis
+                left_millis -= step.count * step.size.cpu_millis
                 self.keepers += step.count
-            self._hand_in(job)
-            self.deployment.run(GAP_S)
-
-    def _hand_in(self, job):
-        chain_s = work = 0
-        left = set()
-        for number, step in enumerate(job.steps):
-            names = [str(each) for each in job.tasks(0, number)]
-            left.update(names)
+            self._submit(job)
+            self.deployment.run(SUBMIT_INTERVAL_S)
+
+    def _submit(self, job):
+        critical_path_s = work_core_s = 0
+        remaining_tasks = set()
+        for step_index, step in enumerate(job.steps):
+            names = [str(task_name) for task_name in job.tasks(0, step_index)]
+            remaining_tasks.update(names)
             if not step.is_keeper:
                 times_s = [self.work_s(name) for name in names]
-                chain_s += max(times_s)
-                work += sum(times_s) * step.size.cpu_millis / MILLIS
-        self.handed[job.job_id] = Handed(job, self.now, chain_s, work, left)
+                critical_path_s += max(times_s)
+                work_core_s += sum(times_s) * step.size.cpu_millis / MILLIS
+        self.submitted_by_id[job.job_id] = SubmittedJob(
+            job, self.now, critical_path_s, work_core_s, remaining_tasks
+        )
         entry = self.random.choice(list(self.deployment.entries))
         self.deployment.submit(job, entry)
--- a/bench/colocation_score.py
+++ b/bench/colocation_score.py
@@ -1,27 +1,33 @@
-"""What a played day of keepers, fillers and small tasks is worth."""
+"""Score of a simulated day of keepers, best-effort and small tasks."""
 
 import statistics
 from dataclasses import dataclass
 
-from bench.colocation_day import AFTER_S, LOAD_S
-from bench.colocation_jobs import LARGE, SMALL
+from bench.colocation_day import COOLDOWN_S, LOAD_S
+from bench.colocation_jobs import LARGE_QUEUE, SMALL_QUEUE
 
-# What keepers, large jobs and small ones are owed of all: a user of the drawn
-# days counts on keepers most.
-KEEPER_PART = 0.56
-LARGE_PART = 0.36
-SMALL_PART = 0.08
-# A second in which a filler puts a keeper over its target counts as so many
-# in which the keeper is away.
-HARM_X = 4
-# A job counts by its work beside the mean of its kind, up to a limit.
-LEAST_WEIGHT = 0.3
-MOST_WEIGHT = 4
+# Weights of keepers, large and small jobs in the score: users of the simulated
+# days depend on keepers most.
+KEEPER_WEIGHT = 0.56
+LARGE_WEIGHT = 0.36
+SMALL_WEIGHT = 0.08
+# A second over target through interference costs as much as this many seconds
+# without the keeper.
+INTERFERENCE_PENALTY = 4
+# A job is weighted by its work relative to the mean of its kind, within limits.
+MIN_JOB_WEIGHT = 0.3
+MAX_JOB_WEIGHT = 4
 
 
 @dataclass(frozen=True)
 class Score:
-    """Shares of what is owed, and two figures that explain them."""
+    """Earned shares of the possible credit, and two explaining figures.
+
+    Attributes:
+        worth: Weighted sum of the shares of large jobs, small jobs and keepers.
+        harmed_s: Keeper-seconds over target through interference.
+        filler_cores: Mean number of cores used by best-effort tasks.
+    """
 
     worth: float
     large: float
@@ -32,39 +38,49 @@
 
     @classmethod
     def from_day(cls, day):
-        """Score a day that was played."""
-        large = _credit(_handed(day, LARGE))
-        small = _credit(_handed(day, SMALL))
+        """Score a simulated day."""
+        large = _credit(_jobs_of(day, LARGE_QUEUE))
+        small = _credit(_jobs_of(day, SMALL_QUEUE))
         times = day.times
-        own = times.over - times.harmed
-        well = times.at_work - own - HARM_X * times.harmed
-        keepers = max(0, well / day.keeper_s)
-        used = sum(worker.used_core_s for worker in day.deployment.workers)
+        own_over_s = times.over - times.harmed
+        credited_s = (
+            times.at_work - own_over_s - INTERFERENCE_PENALTY * times.harmed
+        )
+        keepers = max(0, credited_s / day.keeper_s)
+        used_core_s = sum(
+            worker.used_core_s for worker in day.deployment.workers
+        )
         return cls(
-            KEEPER_PART * keepers + LARGE_PART * large + SMALL_PART * small,
+            KEEPER_WEIGHT * keepers
+            + LARGE_WEIGHT * large
+            + SMALL_WEIGHT * small,
             large,
             small,
             keepers,
             times.harmed,
-            used / (LOAD_S + AFTER_S),
+            used_core_s / (LOAD_S + COOLDOWN_S),
         )
 
 
-def _handed(day, queue):
-    return [each for each in day.handed.values() if each.job.queue is queue]
+def _jobs_of(day, queue):
+    return [
+        submitted
+        for submitted in day.submitted_by_id.values()
+        if submitted.job.queue is queue
+    ]
 
 
-def _credit(handed):
-    """Return the share of what jobs of one kind are owed."""
-    mean = statistics.mean(each.work for each in handed)
-    owed = [
+def _credit(jobs):
+    """Return the share of the possible credit that jobs of a kind earned."""
+    mean = statistics.mean(job.work_core_s for job in jobs)
+    weights = [
         min(
-            MOST_WEIGHT,
-            LEAST_WEIGHT + (1 - LEAST_WEIGHT) * each.work / mean,
+            MAX_JOB_WEIGHT,
+            MIN_JOB_WEIGHT + (1 - MIN_JOB_WEIGHT) * job.work_core_s / mean,
         )
-        for each in handed
+        for job in jobs
     ]
     earned = sum(
-        weight * each.credit for weight, each in zip(owed, handed, strict=True)
+        weight * job.credit for weight, job in zip(weights, jobs, strict=True)
     )
-    return earned / sum(owed)
+    return earned / sum(weights)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
     page = PAGE.read_text()
     recomputed, sheet = render(page, load_slopes())
     assert recomputed == page, 'run python -m bench.capacity'
-    assert len(sheet.used) > 20
+    assert len(sheet.used_slopes) > 20
 
 
 def test_stored_fits_follow_from_their_raw_points():
