--- a/hyssopring/platform/__init__.py
+++ b/hyssopring/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The platform that hyssopring runs on: translation, and nothing else.
+"""Adapters between the users' platform and ``hyssopring.jobs``.
 
-Only this package knows the platform's names. It turns them into the types of
-``hyssopring.jobs`` and back; decisions and state are there.
+Only this package uses the platform's names. It translates them into the types
+of ``hyssopring.jobs`` and back; all decisions and state are in that package.
 """
--- a/hyssopring/platform/advice.py
+++ b/hyssopring/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service for recommendations as ``jobs.AdviceClient``."""
+"""Implementation of ``AdviceClient`` by the platform's advice service."""
 
 from http import HTTPStatus
 from typing import Any, Final
@@ -14,23 +14,23 @@
     AdviceQuery,
 )
 from hyssopring.platform.incarnation import worker_id
-from hyssopring.platform.json_calls import JsonAnswer, JsonClient
+from hyssopring.platform.json_calls import JsonClient, JsonResponse
 
-__all__ = ('PlatformAdvice', 'advice_port')
+__all__ = ('PlatformAdvice', 'advice_client_for')
 
-# One question is under way at a time; a connection that has gone silent may
-# still be open beside the next one.
+# One query is in flight at a time; a silent connection may still be open
+# beside the next one.
 _MAX_CONNECTIONS: Final = 2
 _IDLE_S: Final = 30
-# An answer may take this many times as long as it should, and this much more:
-# the service takes a machine's questions in turn, and one that was given up
-# here may still be before it.
-_PATIENCE: Final = 2
-_TIMEOUT_MS: Final = 600.0
+# The timeout is a multiple of the expected time plus a constant: the service
+# handles the queries of a machine one after the other, and a query that has
+# timed out here may still be queued there.
+_TIMEOUT_FACTOR: Final = 2
+_EXTRA_TIMEOUT_MS: Final = 600.0
 
 
-def advice_port(reactor: Any, address: str) -> AdviceClient:
-    """Return the port for the address in the settings, which may be empty."""
+def advice_client_for(reactor: Any, address: str) -> AdviceClient:
+    """Return a client for HOST:PORT; without an address its queries fail."""
     return (
         PlatformAdvice(reactor, address)
         if address
@@ -39,7 +39,7 @@
 
 
 class PlatformAdvice:
-    """Calls the service."""
+    """Client of the advice service."""
 
     def __init__(self, reactor: Any, address: str) -> None:
         """Connect lazily to the service at HOST:PORT."""
@@ -50,37 +50,41 @@
             _IDLE_S,
         )
 
-    def ask(self, question: AdviceQuery) -> Deferred:
+    def ask(self, query: AdviceQuery) -> Deferred:
         """See ``AdviceClient``."""
-        boots = question.boots
-        calling = self._client.call(
+        boots = query.boots
+        call = self._client.call(
             'POST',
             '/-/advise',
-            {'step': question.step, 'workers': list(map(worker_id, boots))},
-            _PATIENCE * question.expected_ms + _TIMEOUT_MS,
+            {'step': query.step, 'workers': list(map(worker_id, boots))},
+            _TIMEOUT_FACTOR * query.expected_ms + _EXTRA_TIMEOUT_MS,
         )
-        return calling.addCallbacks(
-            _advised,
-            _no_answer,
+        return call.addCallbacks(
+            _checked_answer,
+            _raise_unavailable,
             callbackArgs=(boots,),
         )
 
 
-def _no_answer(failure: TwistedFailure) -> None:
+def _raise_unavailable(failure: TwistedFailure) -> None:
     raise AdviceUnavailable(repr(failure.value))
 
 
-def _advised(answer: JsonAnswer, boots: tuple[str, ...]) -> AdviceAnswer:
-    if answer.status != HTTPStatus.OK:
-        raise AdviceUnavailable(f'the service answered {answer.status}')
+def _checked_answer(
+    response: JsonResponse, boots: tuple[str, ...]
+) -> AdviceAnswer:
+    if response.status != HTTPStatus.OK:
+        raise AdviceUnavailable(f'advice service returned {response.status}')
     try:
-        return _read(answer.fields, boots)
+        return _read_tickets(response.fields, boots)
     except (KeyError, TypeError, ValueError) as error:
         raise AdviceUnavailable(repr(error)) from error
 
 
-def _read(fields: dict[str, Any], boots: tuple[str, ...]) -> AdviceAnswer:
-    """Read tickets by id; those asked for have one incarnation each."""
+def _read_tickets(
+    fields: dict[str, Any], boots: tuple[str, ...]
+) -> AdviceAnswer:
+    """Map tickets to incarnations: each queried id has exactly one."""
     boot_by_id = {worker_id(boot): boot for boot in boots}
     tickets = {
         boot_by_id.get(str(runner_id), str(runner_id)): str(ticket)
--- a/hyssopring/platform/agent_process.py
+++ b/hyssopring/platform/agent_process.py
@@ -1,4 +1,4 @@
-"""The agent's process on the platform."""
+"""Agent process on the platform."""
 
 import random
 import uuid
@@ -26,20 +26,20 @@
 
 __all__ = ('AgentProcess',)
 
-# Of the time that a stop may take, left for the last messages.
-_RESERVE_S: Final = 0.8
+# Part of the grace period of a stop that is reserved for the last messages.
+_LAST_MESSAGES_S: Final = 0.8
 
 
 class AgentProcess:
-    """One running agent."""
+    """An agent and its connections, ports and timers."""
 
     def __init__(self, reactor: Any, settings: NodeSettings) -> None:
-        """Build the core and its shell; ``start`` opens the port."""
+        """Build the core, its clients and its resources; open no port yet."""
         self._reactor = reactor
         self._settings = settings
         self._clock: Clock = MonotonicClock()
         self._metrics = Metrics()
-        self._metrics.collect(self._gauge)
+        self._metrics.collect(self._update_gauges)
         self.core = JobAgentCore(
             reactor,
             self._clock,
@@ -52,7 +52,7 @@
             self._clock,
             AgentGreeting(settings.node_name, settings.zone),
             self.core.connected,
-            self._take,
+            self._handle_message,
             self.core.disconnected,
         )
         self._discovery = EntryDiscovery(
@@ -70,7 +70,7 @@
         self._lifecycle = Lifecycle(reactor, self._clock, 'agent')
 
     def start(self) -> None:
-        """Open the port and begin."""
+        """Open the ports and start the timers."""
         settings = self._settings
         listen(
             self._reactor,
@@ -79,19 +79,20 @@
         )
         serve_metrics(self._reactor, settings, self._metrics)
         self._dialler.add_addresses(settings.seed_addresses)
-        self._lifecycle.every(LINK_TICK_INTERVAL_S, self._turn)
-        self._turn()
+        self._lifecycle.every(LINK_TICK_INTERVAL_S, self._tick)
+        self._tick()
         log_event(Event.PROCESS_STARTED, role='agent', id=settings.node_name)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take new settings: entries may be found at other seeds."""
+        """Apply new settings, which may have other seeds."""
         self._settings = settings
         self._dialler.add_addresses(settings.seed_addresses)
 
     def stop(self) -> None:
-        """End at once: the worker keeps its tasks until the next agent.
+        """Stop promptly; the worker runs its tasks on until the next agent.
 
-        The hold of one that is silent runs out first, if there is time.
+        If the worker does not respond, wait first until its hold has expired,
+        as far as the grace period allows.
         """
         if self._is_stopping:
             return
@@ -102,19 +103,19 @@
             calls=0,
             tasks=len(self.core.table.by_task),
         )
-        wait_s = max(0, self._settings.bounds.grace_s - _RESERVE_S)
+        wait_s = max(0, self._settings.bounds.grace_s - _LAST_MESSAGES_S)
         self._lifecycle.drain(
             lambda: self.core.shutdown.can_exit,
             wait_s * MILLIS_PER_SECOND,
         )
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         gauge = self._metrics.gauge
         gauge('attempts_running', len(self.core.table.by_task))
         gauge('worker_silent_ms', self.core.monitor.silent_ms)
         gauge('entries_connected', len(self._dialler.connected))
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         self._dialler.tick()
         self._discovery.tick()
         self.core.tick()
@@ -122,7 +123,7 @@
     def _send(self, entry_id: str, message: JobsMessage) -> None:
         self._dialler.send(entry_id, message)
 
-    def _take(self, entry_id: str, message: JobsMessage) -> None:
+    def _handle_message(self, entry_id: str, message: JobsMessage) -> None:
         if isinstance(message, EntryAddresses):
             self._dialler.add_addresses(message.addresses)
         else:
--- a/hyssopring/platform/callers.py
+++ b/hyssopring/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests about jobs, as the platform's clients send them."""
+"""HTTP endpoint for callers: submit, cancel and query jobs."""
 
 import json
 import math
@@ -23,14 +23,14 @@
 
 __all__ = ('CallersResource', 'read_job')
 
-_ID: Final = re.compile('[0-9a-f]{16}')
+_JOB_ID: Final = re.compile('[0-9a-f]{16}')
 _DEADLINE_HEADER: Final = 'deadline-ms'
-_DEADLINE_MS: Final = 3000.0
-# The parts of a caller's time after which it is answered in any case. One that
-# hands a job in has the rest to try another entry.
-_SUBMIT_PART: Final = 0.45
-_ASK_PART: Final = 0.85
-_GONE: Final = 410
+_DEFAULT_DEADLINE_MS: Final = 3000.0
+# Shares of a caller's deadline after which a response is sent in any case. The
+# rest of a submission's deadline is left for another attempt at another entry.
+_SUBMIT_SHARE: Final = 0.45
+_CANCEL_SHARE: Final = 0.85
+_STATUS_GONE: Final = 410
 
 
 class _Model(BaseModel):
@@ -38,10 +38,10 @@
 
 
 class _Step(_Model):
-    """One step; fields that are 0, false or empty are left out.
+    """One step; clients omit fields that are 0, false or empty.
 
-    ``saves`` is on the wire as checkpointing, ``rack`` as affinity, ``label``
-    as requirements, and ``max_per_worker`` as antiAffinity.
+    ``Step.saves`` is sent as checkpointing, ``rack`` as affinity, ``label`` as
+    requirements, and ``max_per_worker`` as antiAffinity.
     """
 
     count: int = Field(ge=1, le=100_000)
@@ -63,8 +63,8 @@
     fills: bool = False
     max_unavailable: int = 0
 
-    def step(self) -> Step:
-        """Translate."""
+    def to_step(self) -> Step:
+        """Translate to the type of ``hyssopring.jobs``."""
         return Step(
             count=self.count,
             size=Size(self.cpu, self.mem_mb, self.gpu),
@@ -86,7 +86,7 @@
 
 
 class _Submission(_Model):
-    """A job as it is handed in."""
+    """A job as a caller submits it."""
 
     spec: str = Field(default='', max_length=4000)
     steps: tuple[_Step, ...] = Field(min_length=1, max_length=1000)
@@ -96,45 +96,52 @@
 
 
 def read_job(job_id: str, queue: Queue, body: bytes) -> Job:
-    """Translate a submission; raises ValueError."""
+    """Parse the body of a submission.
+
+    Raises:
+        ValueError: The body is malformed, or a step does not follow the steps
+            that it depends on.
+    """
     submission = _Submission.model_validate_json(body)
-    for number, step in enumerate(submission.steps):
-        if any(not 0 <= earlier < number for earlier in step.after):
-            raise ValueError(f'step {number} comes after a later step')
+    for index, step in enumerate(submission.steps):
+        if any(not 0 <= earlier < index for earlier in step.after):
+            raise ValueError(
+                f'step {index}: after must name earlier steps only',
+            )
     schedule = Schedule(
         submission.first_run_ms,
         submission.interval_ms,
         submission.repeat_count,
     )
-    steps = tuple(step.step() for step in submission.steps)
+    steps = tuple(step.to_step() for step in submission.steps)
     return Job(job_id, queue, submission.spec, steps, schedule)
 
 
 class CallersResource(Resource):
-    """All paths of the address that callers use."""
+    """Serves all paths of the port for callers."""
 
     isLeaf = True
 
-    def __init__(self, clock: Clock, desk: JobApi) -> None:
-        """Answer 503 until ``table`` is set."""
+    def __init__(self, clock: Clock, job_api: JobApi) -> None:
+        """Respond with 503 until ``table`` is set."""
         super().__init__()
         self._clock = clock
-        self._desk = desk
+        self._job_api = job_api
         self.table: QueueTable | None = None
         self.is_stopping = False
         self.open_requests = 0
 
     def render(self, request: Request) -> int:
-        """Take one request."""
+        """Handle one request."""
         self.open_requests += 1
-        request.notifyFinish().addBoth(self._closed)
+        request.notifyFinish().addBoth(self._on_closed)
         if self.is_stopping:
             request.setHeader('connection', 'close')
-        answering = self._route(request)
-        answering.addErrback(self._broken, request)
+        response = self._route(request)
+        response.addErrback(self._on_error, request)
         return NOT_DONE_YET
 
-    def _closed(self, _reason: object) -> None:
+    def _on_closed(self, _reason: object) -> None:
         self.open_requests -= 1
 
     def _route(self, request: Request) -> Deferred:
@@ -147,16 +154,22 @@
         path = request.path.decode('latin-1')
         address = self.table.find(host, path)
         if address is None:
-            return _refuse(request, Failure(ErrorKind.NOT_FOUND, 'no queue'))
-        rest = path.removeprefix(address.path)
+            return _refuse(
+                request,
+                Failure(ErrorKind.NOT_FOUND, 'no queue at this path'),
+            )
+        job_id = path.removeprefix(address.path)
         method = request.method.decode('latin-1')
-        if not rest and method == 'GET':
-            return self._pending(request, address.queue)
-        if not _ID.fullmatch(rest):
-            return _refuse(request, Failure(ErrorKind.NOT_FOUND, 'no job id'))
-        return self._job_call(request, method, address.queue, rest)
+        if not job_id and method == 'GET':
+            return self._count_pending(request, address.queue)
+        if not _JOB_ID.fullmatch(job_id):
+            return _refuse(
+                request,
+                Failure(ErrorKind.NOT_FOUND, 'path has no valid job id'),
+            )
+        return self._route_job(request, method, address.queue, job_id)
 
-    def _job_call(
+    def _route_job(
         self,
         request: Request,
         method: str,
@@ -167,7 +180,7 @@
             return self._submit(request, queue, job_id)
         if method == 'DELETE':
             return self._cancel(request, job_id)
-        return self._state(request, job_id)
+        return self._query_state(request, job_id)
 
     def _submit(
         self,
@@ -182,11 +195,11 @@
             return _refuse(request, Failure(ErrorKind.MALFORMED, detail))
         except ValueError as error:
             return _refuse(request, Failure(ErrorKind.MALFORMED, str(error)))
-        until = self._until(request, _SUBMIT_PART)
-        submitting = self._desk.submit(job, until)
-        return submitting.addCallback(self._submitted, request, job_id)
+        until_ms = self._response_deadline(request, _SUBMIT_SHARE)
+        submitting = self._job_api.submit(job, until_ms)
+        return submitting.addCallback(self._on_submitted, request, job_id)
 
-    def _submitted(
+    def _on_submitted(
         self,
         outcome: Result[None, Failure],
         request: Request,
@@ -202,28 +215,30 @@
             )
             _refuse(request, failure)
         else:
-            _answer(request, {})
+            _respond(request, {})
 
     def _cancel(self, request: Request, job_id: str) -> Deferred:
-        until = self._until(request, _ASK_PART)
-        cancelling = self._desk.cancel(job_id, until)
-        return cancelling.addCallback(_cancelled, request)
-
-    def _state(self, request: Request, job_id: str) -> Deferred:
-        asking = self._desk.state(job_id)
-        return asking.addCallback(_told, request)
-
-    def _pending(self, request: Request, queue: Queue) -> Deferred:
-        counting = self._desk.pending(queue.name)
-        return counting.addCallback(_counted, request)
-
-    def _until(self, request: Request, part: float) -> float:
-        text = request.getHeader(_DEADLINE_HEADER) or ''
-        allowed = float(text) if text.isdigit() else _DEADLINE_MS
-        return self._clock.now() + allowed * part
+        until_ms = self._response_deadline(request, _CANCEL_SHARE)
+        cancelling = self._job_api.cancel(job_id, until_ms)
+        return cancelling.addCallback(_send_cancelled, request)
+
+    def _query_state(self, request: Request, job_id: str) -> Deferred:
+        reading = self._job_api.state(job_id)
+        return reading.addCallback(_send_state, request)
+
+    def _count_pending(self, request: Request, queue: Queue) -> Deferred:
+        counting = self._job_api.pending(queue.name)
+        return counting.addCallback(_send_count, request)
+
+    def _response_deadline(self, request: Request, share: float) -> float:
+        header = request.getHeader(_DEADLINE_HEADER) or ''
+        deadline_ms = (
+            float(header) if header.isdigit() else _DEFAULT_DEADLINE_MS
+        )
+        return self._clock.now() + deadline_ms * share
 
-    def _broken(self, failure: TwistedFailure, request: Request) -> None:
-        """An error of ours: say so, whatever the request was."""
+    def _on_error(self, failure: TwistedFailure, request: Request) -> None:
+        """Log an error of this process and respond with its kind."""
         log_event(
             Event.PEER_ERROR,
             peer='caller',
@@ -233,23 +248,23 @@
         _refuse(request, Failure(ErrorKind.INTERNAL))
 
 
-def _cancelled(outcome: Result[bool, Failure], request: Request) -> None:
+def _send_cancelled(outcome: Result[bool, Failure], request: Request) -> None:
     if outcome.is_err():
         _refuse(request, outcome.unwrap_err())
     elif outcome.unwrap():
-        _answer(request, {})
+        _respond(request, {})
     else:
-        _answer(request, {}, _GONE)
+        _respond(request, {}, _STATUS_GONE)
 
 
-def _counted(outcome: Result[int, Failure], request: Request) -> None:
+def _send_count(outcome: Result[int, Failure], request: Request) -> None:
     if outcome.is_err():
         _refuse(request, outcome.unwrap_err())
     else:
-        _answer(request, {'pending': outcome.unwrap()})
+        _respond(request, {'pending': outcome.unwrap()})
 
 
-def _told(
+def _send_state(
     outcome: Result[JobState | None, Failure],
     request: Request,
 ) -> None:
@@ -258,23 +273,23 @@
         return
     state = outcome.unwrap()
     if state is None:
-        _answer(request, {}, _GONE)
+        _respond(request, {}, _STATUS_GONE)
     else:
-        _answer(request, {'state': state.value})
+        _respond(request, {'state': state.value})
 
 
 def _refuse(request: Request, failure: Failure) -> Deferred:
-    answer = failure.answer
-    if answer.retry_after_ms is not None:
-        seconds = math.ceil(answer.retry_after_ms / MILLIS_PER_SECOND)
+    response = failure.answer
+    if response.retry_after_ms is not None:
+        seconds = math.ceil(response.retry_after_ms / MILLIS_PER_SECOND)
         request.setHeader('retry-after', str(seconds))
-    _answer(request, {'error': failure.kind.value}, answer.status)
+    _respond(request, {'error': failure.kind.value}, response.status)
     done: Deferred = Deferred()
     done.callback(None)
     return done
 
 
-def _answer(
+def _respond(
     request: Request,
     fields: dict[str, Any],
     status: int = 200,
--- a/hyssopring/platform/configuration.py
+++ b/hyssopring/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the queues in force."""
+"""The operator's configuration: parsing it and following its changes."""
 
 from typing import Any, Callable, Final
 
@@ -24,14 +24,14 @@
 
 __all__ = ('ConfigurationFollower', 'read_configuration')
 
-_TABLE: Final = 'op'
-_PLACE: Final = RowKey(_TABLE, '', 'config')
-# A connection that has gone silent is noticed this much later; changes are
-# to be in force 2 s after they were acknowledged.
+_CONFIGURATION_TABLE: Final = 'op'
+_ROW_KEY: Final = RowKey(_CONFIGURATION_TABLE, '', 'config')
+# A silent connection is detected this much later; changes should be in force
+# 2 s after they were acknowledged.
 _WAIT_MS: Final = 800
-# After a failed call, doubled up to the second: the peers of an entry that the
-# store turns away tell it what is new.
-_RETRY_S: Final = 0.2
+# Backoff after a failed call, doubled up to the maximum. An entry that the
+# store rejects gets new configurations from its peers.
+_MIN_RETRY_S: Final = 0.2
 _MAX_RETRY_S: Final = 0.8
 
 
@@ -47,7 +47,7 @@
     per_item_ms: float = 0
     valid_ms: float = 0
 
-    def to_advice(self) -> AdviceTiming:
+    def to_timing(self) -> AdviceTiming:
         return AdviceTiming(self.decision_ms, self.per_item_ms, self.valid_ms)
 
 
@@ -63,7 +63,7 @@
     recommendation: _Recommendation | None = None
 
     def to_queue(self) -> Queue:
-        asked = self.recommendation
+        recommendation = self.recommendation
         return Queue(
             self.name,
             self.service,
@@ -71,7 +71,7 @@
             self.max_attempts,
             self.slack_factor,
             self.target_latency_ms,
-            asked.to_advice() if asked else None,
+            recommendation.to_timing() if recommendation else None,
         )
 
 
@@ -86,7 +86,11 @@
 
 
 def read_configuration(text: str) -> QueueTable:
-    """Translate the row's text; raises ValidationError."""
+    """Parse the text of the configuration row.
+
+    Raises:
+        ValidationError: The text is malformed.
+    """
     document = _Configuration.model_validate_json(text)
     return QueueTable.from_addresses(
         document.version,
@@ -103,7 +107,7 @@
 
 
 class ConfigurationFollower:
-    """Keeps the newest configuration; its version never falls."""
+    """Follows the newest configuration; its version never decreases."""
 
     def __init__(
         self,
@@ -111,55 +115,59 @@
         store: RowStore,
         on_table: Callable[[QueueTable, StoredConfiguration], None],
     ) -> None:
-        """Pass each new table on, and what it was read from."""
+        """Call ``on_table`` with each new table and its stored text."""
         self._reactor = reactor
         self._store = store
         self._on_table = on_table
         self._version = -1
-        self._seen = 0
+        self._store_version = 0
         self._reading: Deferred | None = None
-        self._retry_s = _RETRY_S
+        self._retry_s = _MIN_RETRY_S
 
     def start(self) -> None:
         """Read the configuration, then follow its changes."""
-        reading = self._store.read(_TABLE, '', _PLACE.key)
-        self._await(reading, self._read)
+        reading = self._store.read(_CONFIGURATION_TABLE, '', _ROW_KEY.key)
+        self._await(reading, self._on_read)
 
-    def take_from_peer(self, stored: StoredConfiguration) -> None:
-        """Take the row from an entry that has it.
+    def apply_from_peer(self, stored: StoredConfiguration) -> None:
+        """Apply a row that another entry has sent.
 
-        The store's own answer with the same row is cut short: on a narrow link
-        it would go on for seconds, and the next change would wait behind it.
+        The pending response of the store with the same row is cancelled: on a
+        slow link it would take seconds and delay the next change.
         """
-        if self._take_stored(stored, 'peer') and stored.row_version:
-            self._seen = max(self._seen, stored.row_version)
+        if self._apply(stored, 'peer') and stored.row_version:
+            self._store_version = max(self._store_version, stored.row_version)
             if self._reading is not None:
                 self._reading.cancel()
 
     def _follow(self) -> None:
-        following = self._store.changes(_TABLE, self._seen, _WAIT_MS)
-        self._await(following, self._changed)
+        following = self._store.changes(
+            _CONFIGURATION_TABLE, self._store_version, _WAIT_MS
+        )
+        self._await(following, self._on_changes)
 
-    def _await(self, reading: Deferred, take: Callable[[Any], None]) -> None:
+    def _await(
+        self, reading: Deferred, on_response: Callable[[Any], None]
+    ) -> None:
         self._reading = reading
-        reading.addCallbacks(take, self._failed)
-        reading.addErrback(self._broken)
+        reading.addCallbacks(on_response, self._on_failed)
+        reading.addErrback(self._on_error)
 
-    def _read(self, page: Page) -> None:
-        self._take(page.rows)
-        self._seen = max(self._seen, page.version)
-        self._go_on()
+    def _on_read(self, page: Page) -> None:
+        self._apply_newest(page.rows)
+        self._store_version = max(self._store_version, page.version)
+        self._continue()
 
-    def _changed(self, changes: Changes) -> None:
-        self._take(changes.rows)
-        self._seen = max(self._seen, changes.version)
-        self._go_on()
+    def _on_changes(self, changes: Changes) -> None:
+        self._apply_newest(changes.rows)
+        self._store_version = max(self._store_version, changes.version)
+        self._continue()
 
-    def _go_on(self) -> None:
-        self._retry_s = _RETRY_S
+    def _continue(self) -> None:
+        self._retry_s = _MIN_RETRY_S
         self._follow()
 
-    def _failed(self, failure: TwistedFailure) -> None:
+    def _on_failed(self, failure: TwistedFailure) -> None:
         reason = failure.trap(
             CancelledError,
             HistoryLost,
@@ -167,48 +175,49 @@
             StoreUncertain,
         )
         if reason is CancelledError:
-            self._again(0, self._follow)
+            self._schedule(0, self._follow)
         elif reason is HistoryLost:
-            self._again(0, self.start)
+            self._schedule(0, self.start)
         else:
-            self._again(
+            self._schedule(
                 self._retry_s,
-                self._follow if self._seen else self.start,
+                self._follow if self._store_version else self.start,
             )
             self._retry_s = min(2 * self._retry_s, _MAX_RETRY_S)
 
-    def _again(self, pause_s: float, call: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, call: Callable[[], None]) -> None:
         self._reading = None
-        self._reactor.callLater(pause_s, call)
+        self._reactor.callLater(delay_s, call)
 
-    def _broken(self, failure: TwistedFailure) -> None:
-        """An error of ours in taking a table: say so, and follow on."""
+    def _on_error(self, failure: TwistedFailure) -> None:
+        """Log an error in applying a table, and continue to follow."""
         log_event(
             Event.PEER_ERROR,
             peer='op',
             detail=repr(failure.value),
             trace=failure.getBriefTraceback(),
         )
-        self._again(_RETRY_S, self.start)
+        self._schedule(_MIN_RETRY_S, self.start)
 
-    def _take(self, rows: tuple[Row, ...]) -> None:
-        """Take the newest of a row's versions that can be read.
+    def _apply_newest(self, rows: tuple[Row, ...]) -> None:
+        """Apply the newest valid version of the row.
 
-        Changes in quick succession come in one answer, whole each; to read
-        2,800 queues takes 7 ms of a core, and some have a third of one.
+        Changes in quick succession come in one response, each with the complete
+        text. Only one is parsed: 2,800 queues take 7 ms of a core, and some
+        entries have a third of a core.
         """
-        found = [
+        versions = [
             StoredConfiguration(row.text, row.version)
             for row in rows
-            if row.row_key == _PLACE and not row.is_removed
+            if row.row_key == _ROW_KEY and not row.is_removed
         ]
-        found.sort(key=_row_version, reverse=True)
-        for stored in found:
-            if self._take_stored(stored, 'store'):
+        versions.sort(key=_row_version, reverse=True)
+        for stored in versions:
+            if self._apply(stored, 'store'):
                 return
 
-    def _take_stored(self, stored: StoredConfiguration, source: str) -> bool:
-        """Put a configuration in force, if it is newer; tell whether it was."""
+    def _apply(self, stored: StoredConfiguration, source: str) -> bool:
+        """Apply a configuration; return False if it is invalid or not newer."""
         try:
             table = read_configuration(stored.text)
         except ValidationError as error:
--- a/hyssopring/platform/entry_process.py
+++ b/hyssopring/platform/entry_process.py
@@ -1,4 +1,4 @@
-"""The entry's process on the platform."""
+"""Entry process on the platform."""
 
 import uuid
 from typing import Any, Final
@@ -29,7 +29,7 @@
 from hyssopring.lifecycle import Lifecycle
 from hyssopring.logs import Event, log_event
 from hyssopring.metrics import Metrics
-from hyssopring.platform.advice import advice_port
+from hyssopring.platform.advice import advice_client_for
 from hyssopring.platform.callers import CallersResource
 from hyssopring.platform.configuration import ConfigurationFollower
 from hyssopring.platform.listening import listen
@@ -41,24 +41,24 @@
 
 __all__ = ('EntryProcess',)
 
-_OWNER_TURN_S: Final = 0.2
-_POLL_S: Final = 1.5
-# The balancer sends no new connections after two missed checks, a second
-# apart; requests on open connections are served for this long as well.
-_LINGER_S: Final = 3.0
+_TICK_INTERVAL_S: Final = 0.2
+_POLL_INTERVAL_S: Final = 1.5
+# The balancer stops opening connections after two failed checks, which are one
+# second apart; meanwhile requests are served, also on open connections.
+_DRAIN_DELAY_S: Final = 3.0
 _DRAIN_MS: Final = 1500.0
 
 
 class EntryProcess:
-    """One running entry."""
+    """An entry and its connections, ports and timers."""
 
     def __init__(self, reactor: Any, settings: NodeSettings) -> None:
-        """Build the core and its shell; ``start`` opens the ports."""
+        """Build the core, its clients and its resources; open no port yet."""
         self._reactor = reactor
         self._settings = settings
         self._clock: Clock = MonotonicClock()
         self._metrics = Metrics()
-        self._metrics.collect(self._gauge)
+        self._metrics.collect(self._update_gauges)
         direct = PlatformStore(
             reactor,
             settings.platform.address,
@@ -74,7 +74,7 @@
             settings.inner_address,
             settings.limits.cpu_quota * settings.limits.cores,
         )
-        self._membership.on_entries = self._entries_known
+        self._membership.on_entries = self._on_entries
         self.core = JobEntryCore(
             reactor,
             self._clock,
@@ -82,36 +82,36 @@
             store,
             self._membership,
             self,
-            advice_port(reactor, settings.recommendation),
+            advice_client_for(reactor, settings.recommendation),
         )
         self._dialler = LinkDialler(
             reactor,
             self._clock,
             EntryGreeting(settings.node_name),
             _ignore,
-            self._take,
+            self._handle_message,
             _ignore,
         )
         self._listener = LinkListener(
             self._clock,
             settings.node_name,
-            self._greeted,
-            self._take,
+            self._on_greeting,
+            self._handle_message,
             self.core.agent_disconnected,
         )
         self._callers = CallersResource(self._clock, self.core.job_api)
         self._ready = ReadyResource()
-        # Not through peers: they tell of a newer configuration by themselves,
-        # and pass it on in less than the whole answer that a relay would.
+        # Not relayed by peers: they announce a newer configuration themselves
+        # and send it in less data than the complete response of a relay.
         self._follower = ConfigurationFollower(
             reactor,
             direct,
-            self._configured,
+            self._on_configuration,
         )
-        self.core.configuration.on_stored = self._follower.take_from_peer
+        self.core.configuration.on_stored = self._follower.apply_from_peer
         self._lifecycle = Lifecycle(reactor, self._clock, 'entry')
         self._is_stopping = False
-        self._addresses: list[str] = []
+        self._entry_addresses: list[str] = []
 
     @property
     def connected_entries(self) -> list[str]:
@@ -127,21 +127,21 @@
         return self._listener.send(peer_id, message)
 
     def start(self) -> None:
-        """Open the ports and begin."""
+        """Open the ports and start the timers."""
         bind = self._settings.bind_addresses
         listen(self._reactor, bind.frontend, QuietSite(self._callers))
         listen(self._reactor, bind.ready, QuietSite(self._ready))
         listen(self._reactor, self._settings.inner_address, self._listener)
-        self._learn_seeds()
+        self._dial_seeds()
         serve_metrics(self._reactor, self._settings, self._metrics)
         self._follower.start()
         self._membership.tick()
         every = self._lifecycle.every
-        every(RENEW_MS / MILLIS_PER_SECOND, self._renew)
-        every(_OWNER_TURN_S, self.core.tick)
-        every(_POLL_S, self.core.poll)
+        every(RENEW_MS / MILLIS_PER_SECOND, self._renew_membership)
+        every(_TICK_INTERVAL_S, self.core.tick)
+        every(_POLL_INTERVAL_S, self.core.poll)
         every(LINK_TICK_INTERVAL_S, self._dialler.tick)
-        every(_OWNER_TURN_S, self._listener.close_silent_connections)
+        every(_TICK_INTERVAL_S, self._listener.close_silent_connections)
         log_event(
             Event.PROCESS_STARTED,
             role='entry',
@@ -149,11 +149,11 @@
         )
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take new settings; addresses that are bound stay as they are."""
+        """Apply new settings; bound addresses do not change."""
         self._settings = settings
 
     def stop(self) -> None:
-        """Begin a graceful shutdown: open requests are answered first."""
+        """Start a graceful shutdown that completes open requests first."""
         if self._is_stopping:
             return
         self._is_stopping = True
@@ -165,7 +165,7 @@
         self._ready.is_ready = False
         self._callers.is_stopping = True
         self.core.release()
-        self._reactor.callLater(_LINGER_S, self._drain)
+        self._reactor.callLater(_DRAIN_DELAY_S, self._drain)
 
     def _drain(self) -> None:
         self._lifecycle.drain(
@@ -173,7 +173,7 @@
             _DRAIN_MS,
         )
 
-    def _renew(self) -> None:
+    def _renew_membership(self) -> None:
         self._membership.tick()
         self._ready.is_ready = (
             not self._is_stopping
@@ -181,12 +181,12 @@
             and self._membership.is_store_reachable
         )
 
-    def _learn_seeds(self) -> None:
-        """Dial the seeds: an entry that the store turns away has these only."""
+    def _dial_seeds(self) -> None:
+        """Dial the seeds, the only peers known without the store."""
         own = self._settings.inner_address
         self._dialler.add_addresses(set(self._settings.seed_addresses) - {own})
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         gauge = self._metrics.gauge
         shards = self.core.owner.shards
         gauge('shards_owned', len(shards.by_shard))
@@ -197,7 +197,7 @@
         table = self._callers.table
         gauge('configuration_version', table.version if table else 0)
 
-    def _configured(
+    def _on_configuration(
         self,
         table: QueueTable,
         stored: StoredConfiguration,
@@ -205,24 +205,24 @@
         self._callers.table = table
         self.core.configuration.applied(table.version, stored)
 
-    def _entries_known(self) -> None:
+    def _on_entries(self) -> None:
         addresses = sorted(self._membership.addresses.values())
-        if addresses != self._addresses:
-            self._addresses = addresses
+        if addresses != self._entry_addresses:
+            self._entry_addresses = addresses
             self._dialler.set_addresses(addresses)
             for agent_id in self.core.agents:
                 self.answer(agent_id, EntryAddresses(addresses))
 
-    def _greeted(self, peer_id: str, greeting: JobsMessage) -> None:
+    def _on_greeting(self, peer_id: str, greeting: JobsMessage) -> None:
         if isinstance(greeting, AgentGreeting):
             self.core.agent_connected(peer_id, greeting.zone)
-            self.answer(peer_id, EntryAddresses(self._addresses))
+            self.answer(peer_id, EntryAddresses(self._entry_addresses))
         else:
             self.core.configuration.greeted(peer_id)
 
-    def _take(self, peer_id: str, message: JobsMessage) -> None:
+    def _handle_message(self, peer_id: str, message: JobsMessage) -> None:
         self.core.handle_message(message, peer_id)
 
 
 def _ignore(_entry_id: str) -> None:
-    """Nothing depends on connections between entries being open."""
+    """Ignore an event of a connection between entries."""
--- a/hyssopring/platform/incarnation.py
+++ b/hyssopring/platform/incarnation.py
@@ -1,6 +1,6 @@
-"""Names the incarnations of a runner: one may start again under its id.
+"""Names of the incarnations of a runner, which may restart under one id.
 
-Outside this folder such a name, a boot, is compared whole and never read.
+Other packages call such a name a boot; they compare it and never parse it.
 """
 
 import hashlib
@@ -9,84 +9,85 @@
 
 from hyssopring.logs import Event, log_event
 
-__all__ = ('RestartLog', 'boot_name', 'listed_boot', 'worker_id')
+__all__ = ('RestartLog', 'boot_name', 'responding_boot', 'worker_id')
 
-# What a double holds exactly, and so each JSON reader.
-_MAX_COUNT: Final = 2**53
+# Up to this number a double, and so any JSON parser, holds integers exactly.
+_MAX_EXACT_INTEGER: Final = 2**53
 _DIGEST_LENGTH: Final = 16
-# No id of a runner contains it.
+# Ids of runners do not contain it.
 _SEPARATOR: Final = '#'
 
 
 def boot_name(runner_id: str, born: Any) -> str:
-    """Name an incarnation.
+    """Return the name of an incarnation.
 
     Args:
-        born: The millisecond of its start since 1970. Anything else still
-            names an incarnation, as long as the runner keeps to it; None where
-            the runner does not say, and has a new id each time.
+        born: Its start in milliseconds since 1970. Any other JSON value
+            identifies an incarnation too, if the runner always reports the
+            same one. None if the runner reports no start; it then has a new id
+            for each incarnation.
     """
     if born is None:
         return runner_id
-    return f'{runner_id}{_SEPARATOR}{_born_text(born)}'
+    return f'{runner_id}{_SEPARATOR}{_start_text(born)}'
 
 
 def worker_id(boot: str) -> str:
-    """Return the id under which a runner takes calls."""
+    """Return the id by which the runner is addressed."""
     return boot.partition(_SEPARATOR)[0]
 
 
-def listed_boot(asked: str, born: Any) -> str:
-    """Name the incarnation that answered a call to ``asked``.
+def responding_boot(requested: str, born: Any) -> str:
+    """Return the incarnation that responded to a call to ``requested``.
 
-    One whose reports or lists do not tell their start is taken for the one
-    that was asked: the id has been compared by the runner itself.
+    If its reports or its listings have no start, it is the requested one: the
+    runner itself has compared the id.
     """
-    if born is None or asked == worker_id(asked):
-        return asked
-    return boot_name(worker_id(asked), born)
+    if born is None or requested == worker_id(requested):
+        return requested
+    return boot_name(worker_id(requested), born)
 
 
-def _born_text(born: Any) -> str:
+def _start_text(born: Any) -> str:
     if isinstance(born, float) and born.is_integer():
         born = int(born)
-    is_whole = isinstance(born, int) and not isinstance(born, bool)
-    if is_whole and 0 <= born < _MAX_COUNT:
+    is_integer = isinstance(born, int) and not isinstance(born, bool)
+    if is_integer and 0 <= born < _MAX_EXACT_INTEGER:
         return str(born)
-    text = json.dumps(born, sort_keys=True).encode()
-    return hashlib.sha256(text).hexdigest()[:_DIGEST_LENGTH]
+    encoded = json.dumps(born, sort_keys=True).encode()
+    return hashlib.sha256(encoded).hexdigest()[:_DIGEST_LENGTH]
 
 
 class RestartLog:
-    """Logs each runner that has started again under the id that it had."""
+    """Logs restarts of a runner under an unchanged id."""
 
     def __init__(self) -> None:
-        """Know of no runner."""
+        """Start without a known incarnation."""
         self._boot = ''
 
-    def listed(
+    def check_listing(
         self,
         runner_id: str,
         fields: dict[str, Any],
         acknowledged: int,
     ) -> None:
-        """Take the fields of a list.
+        """Log a restart if a listing comes from a new incarnation.
 
         Args:
-            acknowledged: The number of the last end that the call named as
-                recorded.
+            acknowledged: The number of the last end that the call
+                acknowledged.
         """
         born = fields.get('born')
         if born is None:
             return
         boot = boot_name(runner_id, born)
-        before = self._boot
+        previous = self._boot
         self._boot = boot
-        if boot != before and worker_id(before) == runner_id:
+        if boot != previous and worker_id(previous) == runner_id:
             log_event(
                 Event.WORKER_RESTARTED,
                 boot=boot,
-                before=before,
+                before=previous,
                 acknowledged=acknowledged,
                 running=_length(fields.get('running')),
                 finished=_length(fields.get('finished')),
--- a/hyssopring/platform/json_calls.py
+++ b/hyssopring/platform/json_calls.py
@@ -1,4 +1,4 @@
-"""JSON calls to the platform and to workers, with a time limit each."""
+"""JSON requests to the platform and to workers, with timeouts."""
 
 import json
 from dataclasses import dataclass
@@ -8,25 +8,25 @@
 
 from hyssopring.web_client import FetchedAnswer, fetch, pooled_agent
 
-__all__ = ('JsonAnswer', 'JsonClient', 'UnreadableAnswer')
+__all__ = ('JsonClient', 'JsonResponse', 'MalformedResponseError')
 
 _JSON: Final = ('content-type', 'application/json')
 
 
-class UnreadableAnswer(Exception):
-    """An answer that holds no JSON object where one is due."""
+class MalformedResponseError(Exception):
+    """The body of a response is not a JSON object."""
 
 
 @dataclass(frozen=True, slots=True)
-class JsonAnswer:
-    """A status and the fields of the body, none for an empty body."""
+class JsonResponse:
+    """A status and the fields of the body; no fields for an empty body."""
 
     status: int
     fields: dict[str, Any]
 
 
 class JsonClient:
-    """Calls one server."""
+    """Client of one server."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         headers: tuple[tuple[str, str], ...] = (),
         silence_ms: float | None = None,
     ) -> Deferred:
-        """Return a deferred ``JsonAnswer``; fails if none came whole.
+        """Return a deferred ``JsonResponse``.
 
-        For the time limits see ``fetch``.
+        It fails without a complete response. ``fetch`` explains the timeouts.
         """
         body = b'' if fields is None else json.dumps(fields).encode()
-        calling = fetch(
+        call = fetch(
             self._reactor,
             self._agent,
             method,
@@ -64,20 +64,20 @@
             (_JSON, *headers),
             silence_ms,
         )
-        return calling.addCallback(_read)
+        return call.addCallback(_parse)
 
     def close_idle(self) -> None:
-        """Make the next calls on new connections."""
+        """Close idle connections, so that the next calls open new ones."""
         self._agent.close_idle()
 
 
-def _read(answer: FetchedAnswer) -> JsonAnswer:
-    if not answer.body:
-        return JsonAnswer(answer.status, {})
+def _parse(response: FetchedAnswer) -> JsonResponse:
+    if not response.body:
+        return JsonResponse(response.status, {})
     try:
-        fields = json.loads(answer.body)
+        fields = json.loads(response.body)
     except ValueError as error:
-        raise UnreadableAnswer(str(error)) from error
+        raise MalformedResponseError(str(error)) from error
     if not isinstance(fields, dict):
-        raise UnreadableAnswer('no object')
-    return JsonAnswer(answer.status, fields)
+        raise MalformedResponseError('response body is not a JSON object')
+    return JsonResponse(response.status, fields)
--- a/hyssopring/platform/listening.py
+++ b/hyssopring/platform/listening.py
@@ -1,4 +1,4 @@
-"""Opens the ports that the settings name."""
+"""Listening on the addresses in the settings."""
 
 from typing import Any
 
@@ -8,6 +8,10 @@
 
 
 def listen(reactor: Any, address: str, factory: Any) -> Any:
-    """Listen on HOST:PORT; raises Twisted's CannotListenError."""
+    """Listen on HOST:PORT.
+
+    Raises:
+        CannotListenError: The port is in use.
+    """
     host, port = parse_address(address)
     return reactor.listenTCP(port, factory, interface=host)
--- a/hyssopring/platform/metrics.py
+++ b/hyssopring/platform/metrics.py
@@ -1,4 +1,4 @@
-"""Serves a process's metrics as text."""
+"""HTTP endpoint for the metrics of a process."""
 
 from typing import Any, Final
 
@@ -15,12 +15,12 @@
 
 __all__ = ('METRICS_PATH', 'serve_metrics')
 
-# As the deploy file says it.
+# The deploy file has the same path.
 METRICS_PATH: Final = 'metrics'
 
 
 class _MetricsResource(Resource):
-    """GET on any path of the port."""
+    """Responds to GET on any path of the port."""
 
     isLeaf = True
 
@@ -38,9 +38,9 @@
     settings: NodeSettings,
     metrics: Metrics,
 ) -> None:
-    """Count the process's events, and listen for scrapes.
+    """Count the events of the process and listen for scrapes.
 
-    A port that is taken costs the metrics, not the service: it is logged.
+    A port that is in use is logged, and the process runs without the endpoint.
     """
     listen_to_events(JobMetrics(metrics).record_event)
     metrics.collect(lambda: gauge_process(metrics))
--- a/hyssopring/platform/readiness.py
+++ b/hyssopring/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Tells the platform's balancer whether an entry takes new connections."""
+"""Readiness endpoint of an entry for the platform's load balancer."""
 
 from twisted.web.http import Request
 from twisted.web.resource import Resource
@@ -10,16 +10,16 @@
 
 
 class ReadyResource(Resource):
-    """GET /-/readyz; the balancer asks once a second."""
+    """Serves GET /-/readyz, which the balancer polls once a second."""
 
     isLeaf = True
 
     def __init__(self) -> None:
-        """Be not ready yet."""
+        """Start as not ready."""
         super().__init__()
         self.is_ready = False
 
     def render_GET(self, request: Request) -> bytes:
-        """Answer by status alone."""
+        """Respond with a status and an empty body."""
         request.setResponseCode(_READY if self.is_ready else _NOT_READY)
         return b''
--- a/hyssopring/platform/reloading.py
+++ b/hyssopring/platform/reloading.py
@@ -1,4 +1,4 @@
-"""Takes over a settings file that has changed, with or without a signal."""
+"""Reload of a changed settings file, with or without a signal."""
 
 import os
 import pathlib
@@ -9,14 +9,14 @@
 from hyssopring.logs import Event, log_event
 from hyssopring.platform.settings import NodeSettings, load_node_settings
 
-__all__ = ('SettingsWatch',)
+__all__ = ('SettingsReloader',)
 
-# The file may change without a signal; a look costs one system call.
-_LOOK_S: Final = 1.0
+# The file may change without a signal; a check costs one system call.
+_CHECK_INTERVAL_S: Final = 1.0
 
 
-class SettingsWatch:
-    """Loads the file again when its time or size has changed."""
+class SettingsReloader:
+    """Reloads the file when its modification time or size has changed."""
 
     def __init__(
         self,
@@ -24,26 +24,26 @@
         path: str,
         on_settings: Callable[[NodeSettings], None],
     ) -> None:
-        """Take the file as it is now for known."""
+        """Treat the present state of the file as loaded."""
         self._path = pathlib.Path(path)
         self._on_settings = on_settings
-        self._known = self._stamp()
-        self._loop = LoopingCall(self.look)
+        self._loaded_stamp = self._stamp()
+        self._loop = LoopingCall(self.check)
         self._loop.clock = reactor
 
     def start(self) -> None:
-        """Look regularly."""
-        self._loop.start(_LOOK_S, now=False)
+        """Check the file at regular intervals."""
+        self._loop.start(_CHECK_INTERVAL_S, now=False)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Load the file if it has changed."""
         stamp = self._stamp()
-        if stamp != self._known:
-            self._known = stamp
+        if stamp != self._loaded_stamp:
+            self._loaded_stamp = stamp
             self.load()
 
     def load(self) -> None:
-        """Load the file; settings that are not valid change nothing."""
+        """Load the file; invalid settings are logged and ignored."""
         loaded = load_node_settings(str(self._path))
         if loaded.is_err():
             log_event(
@@ -56,7 +56,7 @@
 
     def _stamp(self) -> tuple[int, int]:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return 0, 0
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
--- a/hyssopring/platform/reports.py
+++ b/hyssopring/platform/reports.py
@@ -1,4 +1,4 @@
-"""Takes the runner's reports about itself on its own machine."""
+"""HTTP endpoint for reports of the runner on the same machine."""
 
 import json
 import re
@@ -17,26 +17,26 @@
 __all__ = ('ReportsResource',)
 
 _PREFIX: Final = '/-/instances/'
-_OK: Final = 200
-_BAD: Final = 400
-_FORBIDDEN: Final = 403
-_MISSING: Final = 404
-# It goes out again as a header of each call to the runner.
+_STATUS_OK: Final = 200
+_STATUS_BAD_REQUEST: Final = 400
+_STATUS_FORBIDDEN: Final = 403
+_STATUS_NOT_FOUND: Final = 404
+# The id is sent as a header of each call to the runner.
 _ID: Final = re.compile('[A-Za-z0-9._~:@+=-]{1,128}')
-_MAX_NAME: Final = 256
+_MAX_NAME_LENGTH: Final = 256
 _MAX_LABELS: Final = 256
-# What a double holds exactly, and so each JSON reader.
-_MAX_COUNT: Final = 2**53
+# Up to this number a double, and so any JSON parser, holds integers exactly.
+_MAX_EXACT_INTEGER: Final = 2**53
 
-_Count = Annotated[int, Field(ge=0, le=_MAX_COUNT)]
-_Name = Annotated[str, Field(max_length=_MAX_NAME)]
+_Count = Annotated[int, Field(ge=0, le=_MAX_EXACT_INTEGER)]
+_Name = Annotated[str, Field(max_length=_MAX_NAME_LENGTH)]
 _MODEL: Final = ConfigDict(
     alias_generator=alias_generators.to_camel,
     strict=True,
 )
 
 
-class _Room(BaseModel):
+class _Capacity(BaseModel):
     model_config = _MODEL
 
     cpu: _Count = 0
@@ -45,7 +45,7 @@
 
 
 class _Report(BaseModel):
-    """One report. ``free_capacity`` is all that the runner has, at any load."""
+    """One report; ``free_capacity`` is the total capacity, at any load."""
 
     model_config = _MODEL
 
@@ -53,18 +53,18 @@
     state: Literal['ready', 'draining']
     sequence: _Count
     clock_ms: _Count = 0
-    free_capacity: _Room = _Room()
+    free_capacity: _Capacity = _Capacity()
     labels: tuple[_Name, ...] = Field(default=(), max_length=_MAX_LABELS)
     remaining_ms: _Count = 0
     born: Any = None
 
-    def announcement(self, runner_id: str) -> Announcement:
-        """Translate."""
-        room = self.free_capacity
+    def to_announcement(self, runner_id: str) -> Announcement:
+        """Translate to the type of ``hyssopring.jobs``."""
+        capacity = self.free_capacity
         return Announcement(
             boot_name(runner_id, self.born),
             self.service,
-            Size(room.cpu, room.mem_mb, room.gpu),
+            Size(capacity.cpu, capacity.mem_mb, capacity.gpu),
             self.labels,
             self.state == 'draining',
             self.remaining_ms,
@@ -75,7 +75,7 @@
 
 
 class ReportsResource(Resource):
-    """POST /-/instances/ID/heartbeat and /deregister."""
+    """Serves POST /-/instances/ID/heartbeat and /deregister."""
 
     isLeaf = True
 
@@ -85,67 +85,78 @@
         on_leave: Callable[[str], None],
         own_hosts: Container[str],
     ) -> None:
-        """Pass reports and farewells on that come from ``own_hosts``.
+        """Accept calls from ``own_hosts`` only and pass them on.
 
-        Whoever can report a new incarnation makes the agent give up all that
-        runs: only the runner on the same machine may.
+        A report of a new incarnation makes the agent abandon all running
+        tasks, so only the runner on the same machine may send one.
+
+        Args:
+            on_report: Called with each report.
+            on_leave: Called with the boot of a runner that deregisters.
+            own_hosts: Addresses of this machine.
         """
         super().__init__()
         self._own_hosts = own_hosts
         self._on_report = on_report
         self._on_leave = on_leave
-        self._last: Announcement | None = None
+        self._last_announcement: Announcement | None = None
 
     def render_POST(self, request: Request) -> bytes:
-        """Take one call."""
+        """Handle one call."""
         path = request.path.decode('latin-1')
         runner_id, _slash, verb = path.removeprefix(_PREFIX).partition('/')
         request.setHeader('content-type', 'application/json')
-        request.setResponseCode(self._answer(runner_id, verb, request))
+        request.setResponseCode(self._respond(runner_id, verb, request))
         return b'{}'
 
-    def _answer(self, runner_id: str, verb: str, request: Request) -> int:
+    def _respond(self, runner_id: str, verb: str, request: Request) -> int:
         if verb not in {'heartbeat', 'deregister'}:
-            return _MISSING
+            return _STATUS_NOT_FOUND
         host = getattr(request.getClientAddress(), 'host', '')
         if host not in self._own_hosts:
-            log_event(Event.PEER_ERROR, peer=host, detail='a foreign report')
-            return _FORBIDDEN
+            log_event(
+                Event.PEER_ERROR,
+                peer=host,
+                detail='report from a foreign host rejected',
+            )
+            return _STATUS_FORBIDDEN
         if not _ID.fullmatch(runner_id):
-            detail = f'no id of a runner: {runner_id[:_MAX_NAME]!r}'
+            detail = f'invalid runner id: {runner_id[:_MAX_NAME_LENGTH]!r}'
             log_event(Event.PEER_ERROR, peer='runner', detail=detail)
-            return _BAD
+            return _STATUS_BAD_REQUEST
         body = request.content.read()
         if verb == 'heartbeat':
-            return self._take(runner_id, body)
+            return self._handle_heartbeat(runner_id, body)
         self._on_leave(self._leaving_boot(runner_id, body))
-        return _OK
+        return _STATUS_OK
 
-    def _take(self, runner_id: str, body: bytes) -> int:
+    def _handle_heartbeat(self, runner_id: str, body: bytes) -> int:
         try:
             report = _Report.model_validate_json(body)
         except ValidationError as error:
-            log_event(Event.PEER_ERROR, peer=runner_id, detail=_first(error))
-            return _BAD
-        self._last = report.announcement(runner_id)
-        self._on_report(self._last)
-        return _OK
+            log_event(
+                Event.PEER_ERROR, peer=runner_id, detail=_first_problem(error)
+            )
+            return _STATUS_BAD_REQUEST
+        self._last_announcement = report.to_announcement(runner_id)
+        self._on_report(self._last_announcement)
+        return _STATUS_OK
 
     def _leaving_boot(self, runner_id: str, body: bytes) -> str:
-        """Name the incarnation that says farewell.
+        """Return the incarnation that deregisters.
 
-        A farewell without a start may be a late one of the incarnation before:
-        it counts for the present one only if that has said that it leaves.
+        A call without a start may be a delayed one of the previous incarnation.
+        It counts for the present one only if its last report was ``draining``.
         """
-        boot = boot_name(runner_id, _born_in(body))
-        last = self._last
+        boot = boot_name(runner_id, _reported_start(body))
+        last = self._last_announcement
         if boot != runner_id or last is None or not last.is_leaving:
             return boot
         return last.boot if worker_id(last.boot) == runner_id else boot
 
 
-def _born_in(body: bytes) -> Any:
-    """Return what a farewell says of the runner's start, None for nothing."""
+def _reported_start(body: bytes) -> Any:
+    """Return the runner's start in the body of a call, None without one."""
     try:
         fields = json.loads(body)
     except ValueError:
@@ -153,6 +164,6 @@
     return fields.get('born') if isinstance(fields, dict) else None
 
 
-def _first(error: ValidationError) -> str:
+def _first_problem(error: ValidationError) -> str:
     problem: dict[str, Any] = dict(error.errors()[0])
     return json.dumps([problem['loc'], problem['msg']])
--- a/hyssopring/platform/roles.py
+++ b/hyssopring/platform/roles.py
@@ -1,4 +1,4 @@
-"""The roles on the platform, from their settings to their end."""
+"""Start of a role on the platform: settings, logging and signals."""
 
 import gc
 import signal
@@ -16,17 +16,17 @@
 
 __all__ = ('main',)
 
-_BAD_SETTINGS = 2
+_EXIT_BAD_SETTINGS = 2
 
 
 def main(arguments: list[str]) -> None:
     """Run the role named by the only argument until it is stopped."""
     if len(arguments) != 1 or arguments[0] not in {'entry', 'agent'}:
-        _fail('usage: python -m hyssopring.platform entry|agent')
+        _exit_with_error('usage: python -m hyssopring.platform entry|agent')
     loaded = load_node_settings(node_file())
     if loaded.is_err():
         failure: Failure = loaded.unwrap_err()
-        _fail(failure.detail)
+        _exit_with_error(failure.detail)
     configure_json_logging()
     _run(arguments[0], loaded.unwrap())
 
@@ -34,33 +34,33 @@
 def _run(role: str, settings: NodeSettings) -> None:
     from twisted.internet import reactor  # noqa: PLC0415, WPS433
 
-    from hyssopring.platform.reloading import SettingsWatch  # noqa: WPS433
+    from hyssopring.platform.reloading import SettingsReloader  # noqa: WPS433
 
     process = _process_class(role)(reactor, settings)
     process.start()
-    _collect_from_now_on()
-    watch = SettingsWatch(reactor, node_file(), process.reload)
-    watch.start()
-    for number, action in (
+    _enable_garbage_collector()
+    reloader = SettingsReloader(reactor, node_file(), process.reload)
+    reloader.start()
+    for signal_number, action in (
         (signal.SIGTERM, process.stop),
         (signal.SIGINT, process.stop),
-        (signal.SIGHUP, watch.load),
+        (signal.SIGHUP, reloader.load),
     ):
-        signal.signal(number, partial(_hand_over, reactor, action))
+        signal.signal(signal_number, partial(_call_in_reactor, reactor, action))
     reactor.run(installSignalHandlers=False)
 
 
-def _collect_from_now_on() -> None:
-    """Let the garbage collector look at what is made after the start only.
+def _enable_garbage_collector() -> None:
+    """Enable the garbage collector for objects created after the start.
 
-    What was imported stays as long as the process.
+    Imported objects exist as long as the process, so scanning them is useless.
     """
     gc.freeze()
     gc.enable()
 
 
 def _process_class(role: str) -> Any:
-    """Import one role's modules: the other's would only take memory."""
+    """Import the modules of one role only, to save memory."""
     if role == 'entry':
         from hyssopring.platform.entry_process import (  # noqa: WPS433
             EntryProcess,
@@ -74,15 +74,15 @@
     return AgentProcess
 
 
-def _hand_over(
+def _call_in_reactor(
     reactor: Any,
     action: Callable[[], None],
     *_signal: object,
 ) -> None:
-    """Leave the signal's handler: the reactor carries the action out."""
+    """Run the action in the reactor instead of the signal handler."""
     reactor.callFromThread(action)
 
 
-def _fail(line: str) -> None:
+def _exit_with_error(line: str) -> None:
     sys.stderr.write(f'{line}\n')
-    sys.exit(_BAD_SETTINGS)
+    sys.exit(_EXIT_BAD_SETTINGS)
--- a/hyssopring/platform/settings.py
+++ b/hyssopring/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives to each process."""
+"""Settings file that the platform provides for each process."""
 
 import os
 import pathlib
@@ -20,18 +20,18 @@
 
 _LOOPBACK: Final = '127.0.0.1'
 _FILE_VARIABLE: Final = 'HYSSOPRING_NODE_FILE'
-# A file of the platform has a few kilobytes; parsing stops long before it
-# takes a noticeable time.
+# The platform's files have a few kilobytes; the limit keeps the time of parsing
+# a wrong file short.
 _MAX_BYTES: Final = 1024 * 1024
 _LAST_PORT: Final = 65_535
 
-# The platform's file names no port for metrics; the deploy file does, with this
-# same figure, the usual port of metrics exporters. Our own tests give another.
+# The platform's file has no port for metrics. The deploy file has this one, the
+# usual port of metrics exporters; tests set another.
 METRICS_PORT: Final = 9464
 
 
 class _Model(BaseModel):
-    """Fields are spelled as in the file; unknown ones are ignored."""
+    """Base of the models: camel-case keys; unknown keys are ignored."""
 
     model_config = ConfigDict(
         alias_generator=alias_generators.to_camel, frozen=True
@@ -39,7 +39,7 @@
 
 
 class Listening(_Model):
-    """Addresses to listen on, by what calls there."""
+    """Addresses to listen on, by the kind of client."""
 
     frontend: str = ''
     ready: str = ''
@@ -47,27 +47,27 @@
 
 
 class StoreSettings(_Model):
-    """Where the store is."""
+    """HOST:PORT of the store."""
 
     address: str
 
 
 class Bounds(_Model):
-    """Times that the platform sets, in the unit of their names."""
+    """Time limits set by the platform."""
 
     hold_max_ms: int = 10_000
     grace_s: float = 6
 
 
 class Limits(_Model):
-    """What a process may use; the quota is of a core, cores times as fast."""
+    """Processor limits: a share of one core, and that core's relative speed."""
 
     cpu_quota: float = 1
     cores: float = 1
 
 
 class NodeSettings(_Model):
-    """What one process is told."""
+    """Settings of one process."""
 
     node_name: str
     ip: str
@@ -86,21 +86,21 @@
 
     @property
     def inner_address(self) -> str:
-        """Where this process listens for others of the system."""
+        """Address on which this process listens for other processes."""
         return f'{self.ip}:{self.internal_ports[0]}'
 
     @property
     def own_hosts(self) -> frozenset[str]:
-        """The addresses under which programs of this machine call."""
+        """Addresses from which programs on this machine connect."""
         runner_host = self.app.rpartition(':')[0]
         return frozenset((self.ip, runner_host, _LOOPBACK))
 
     @property
     def seed_addresses(self) -> tuple[str, ...]:
-        """Where the processes on the seeds' machines listen.
+        """Inner addresses of the processes on the seed machines.
 
-        The seeds name another port of these machines; inner ports are the
-        same on all machines.
+        Seeds are addresses with another port; the inner ports are the same on
+        all machines.
         """
         port = self.internal_ports[0]
         hosts = [seed.rpartition(':')[0] for seed in self.seeds]
@@ -108,22 +108,22 @@
 
 
 def node_file() -> str:
-    """Return the path of the settings file, empty if none is given."""
+    """Return the path of the settings file, empty if it is not set."""
     return os.environ.get(_FILE_VARIABLE, '')
 
 
 def load_node_settings(path: str) -> Result[NodeSettings, Failure]:
-    """Read and check the file; a failure is one clear line."""
+    """Read and validate the file; the detail of a failure is one line."""
     if not path:
         return _invalid(f'{_FILE_VARIABLE} is not set')
     try:
-        text = pathlib.Path(path).read_bytes()
+        document = pathlib.Path(path).read_bytes()
     except OSError as error:
         return _invalid(f'{path}: cannot be read: {error.strerror}')
-    if len(text) > _MAX_BYTES:
-        return _invalid(f'{path}: {len(text)} bytes, at most {_MAX_BYTES}')
+    if len(document) > _MAX_BYTES:
+        return _invalid(f'{path}: {len(document)} bytes, at most {_MAX_BYTES}')
     try:
-        settings = NodeSettings.model_validate_json(text)
+        settings = NodeSettings.model_validate_json(document)
     except ValidationError as error:
         problems = describe_problems(error, NodeSettings)
         return _invalid(f'{path}: {problems}')
@@ -135,5 +135,5 @@
     return Ok(settings)
 
 
-def _invalid(line: str) -> Result[NodeSettings, Failure]:
-    return Err(Failure(ErrorKind.INVALID, ' '.join(line.split())))
+def _invalid(detail: str) -> Result[NodeSettings, Failure]:
+    return Err(Failure(ErrorKind.INVALID, ' '.join(detail.split())))
--- a/hyssopring/platform/store.py
+++ b/hyssopring/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as ``jobs.rows.RowStore``."""
+"""Implementation of ``RowStore`` by the platform's table store."""
 
 from http import HTTPStatus
 from typing import Any, Final
@@ -19,13 +19,13 @@
 )
 from hyssopring.logs import Event, log_event
 from hyssopring.metrics import Metrics
-from hyssopring.platform.json_calls import JsonAnswer, JsonClient
+from hyssopring.platform.json_calls import JsonClient, JsonResponse
 from hyssopring.platform.store_rows import (
     changes_of,
     check_fields,
     only_row,
     page_of,
-    place_fields,
+    row_key_fields,
     put_fields,
     rows_of,
     version_of,
@@ -33,22 +33,22 @@
 
 __all__ = ('PlatformStore',)
 
-_TX: Final = '/-/rows-tx'
-_GET: Final = '/-/rows-get'
-_FEED: Final = '/-/rows-feed'
+_COMMIT_PATH: Final = '/-/rows-tx'
+_READ_PATH: Final = '/-/rows-get'
+_CHANGES_PATH: Final = '/-/rows-feed'
 _MAX_CONNECTIONS: Final = 8
 _IDLE_S: Final = 30
-# An answer begins after 9 ms; on slow days after up to 0.8 s. A silent
-# connection costs this much before a new one is tried. What has begun may take
-# its time: on a link of 5 Mbit/s a large configuration or a page of jobs needs
-# seconds, and thrown away at a time limit it would be begun anew for ever.
+# A response begins after 9 ms; if the store is slow, after up to 0.8 s. After
+# this long without data a new connection is tried. The total time is not
+# limited: on a link of 5 Mbit/s a large configuration or a page of jobs takes
+# seconds, and with a limit it would be requested again without ever arriving.
 _SILENCE_MS: Final = 1200.0
-# Not done, and said so.
-_REFUSALS: Final = frozenset((429, 503, 403, 507))
+# Statuses that guarantee that the call was not carried out.
+_REFUSAL_STATUSES: Final = frozenset((429, 503, 403, 507))
 
 
 class PlatformStore:
-    """Carries calls, and tells what an answer means for the caller."""
+    """Client of the store; raises the errors that ``RowStore`` documents."""
 
     def __init__(self, reactor: Any, address: str, metrics: Metrics) -> None:
         """Connect lazily to the store at HOST:PORT."""
@@ -60,7 +60,7 @@
             _MAX_CONNECTIONS,
             _IDLE_S,
         )
-        self._is_lost = False
+        self._is_unreachable = False
 
     def commit(self, transaction: Transaction) -> Deferred:
         """See ``RowStore``."""
@@ -69,51 +69,53 @@
                 check_fields(check) for check in transaction.checks
             ],
             'writes': [put_fields(put) for put in transaction.puts],
-            'remove': [place_fields(place) for place in transaction.removals],
+            'remove': [
+                row_key_fields(row_key) for row_key in transaction.removals
+            ],
         }
-        calling = self._call('POST', _TX, fields, _SILENCE_MS)
-        calling.addCallbacks(self._committed, self._uncertain)
-        return calling
+        call = self._call('POST', _COMMIT_PATH, fields, _SILENCE_MS)
+        call.addCallbacks(self._to_commit_result, self._raise_uncertain)
+        return call
 
     def read(self, table: str, part: str, first: str = '') -> Deferred:
         """See ``RowStore``."""
-        asked = {'table': table, 'part': part}
+        query = {'table': table, 'part': part}
         if first:
-            asked['from'] = first
-        return self._read(asked).addCallback(page_of)
+            query['from'] = first
+        return self._read(query).addCallback(page_of)
 
-    def read_one(self, place: RowKey) -> Deferred:
+    def read_one(self, row_key: RowKey) -> Deferred:
         """See ``RowStore``."""
-        asked = {
-            'table': place.table,
-            'part': place.part,
-            'from': place.key,
+        query = {
+            'table': row_key.table,
+            'part': row_key.part,
+            'from': row_key.key,
             'limit': '1',
         }
-        reading = self._read(asked).addCallback(page_of)
-        return reading.addCallback(only_row, place.key)
+        reading = self._read(query).addCallback(page_of)
+        return reading.addCallback(only_row, row_key.key)
 
     def changes(self, table: str, after: int, wait_ms: int) -> Deferred:
         """See ``RowStore``."""
-        asked = {'table': table, 'after': str(after), 'waitMs': str(wait_ms)}
-        calling = self._call(
+        query = {'table': table, 'after': str(after), 'waitMs': str(wait_ms)}
+        call = self._call(
             'GET',
-            f'{_FEED}?{urlencode(asked)}',
+            f'{_CHANGES_PATH}?{urlencode(query)}',
             None,
             _SILENCE_MS + wait_ms,
         )
-        calling.addCallbacks(self._answered, self._unread)
-        return calling.addCallback(changes_of)
+        call.addCallbacks(self._checked_response, self._raise_refused)
+        return call.addCallback(changes_of)
 
-    def _read(self, asked: dict[str, str]) -> Deferred:
-        calling = self._call(
+    def _read(self, query: dict[str, str]) -> Deferred:
+        call = self._call(
             'GET',
-            f'{_GET}?{urlencode(asked)}',
+            f'{_READ_PATH}?{urlencode(query)}',
             None,
             _SILENCE_MS,
         )
-        calling.addCallbacks(self._answered, self._unread)
-        return calling
+        call.addCallbacks(self._checked_response, self._raise_refused)
+        return call
 
     def _call(
         self,
@@ -122,76 +124,76 @@
         fields: dict[str, Any] | None,
         timeout_ms: float,
     ) -> Deferred:
-        begun_s = self._reactor.seconds()
-        calling = self._client.call(
+        started_s = self._reactor.seconds()
+        call = self._client.call(
             method,
             path,
             fields,
             timeout_ms,
             silence_ms=_SILENCE_MS,
         )
-        return calling.addCallbacks(
-            self._measured,
-            self._unanswered,
-            callbackArgs=(begun_s, path),
+        return call.addCallbacks(
+            self._record_response,
+            self._record_failure,
+            callbackArgs=(started_s, path),
         )
 
-    def _measured(
+    def _record_response(
         self,
-        answer: JsonAnswer,
-        begun_s: float,
+        response: JsonResponse,
+        started_s: float,
         path: str,
-    ) -> JsonAnswer:
-        self._metrics.count(f'store_calls_total{{status="{answer.status}"}}')
-        if not path.startswith(_FEED):
-            # A call for changes waits for one: its time says nothing.
-            seconds = self._reactor.seconds() - begun_s
-            self._metrics.observe('store_call', seconds * MILLIS_PER_SECOND)
-        return answer
-
-    def _unanswered(self, failure: TwistedFailure) -> TwistedFailure:
+    ) -> JsonResponse:
+        self._metrics.count(f'store_calls_total{{status="{response.status}"}}')
+        if not path.startswith(_CHANGES_PATH):
+            # A call for changes waits for one, so its time is not measured.
+            elapsed_s = self._reactor.seconds() - started_s
+            self._metrics.observe('store_call', elapsed_s * MILLIS_PER_SECOND)
+        return response
+
+    def _record_failure(self, failure: TwistedFailure) -> TwistedFailure:
         if not failure.check(CancelledError):
             self._metrics.count('store_calls_total{status="none"}')
         return failure
 
-    def _committed(self, answer: JsonAnswer) -> Committed | Conflict:
-        if answer.status == HTTPStatus.OK:
-            self._found()
-            return Committed(version_of(answer, StoreUncertain))
-        if answer.status == HTTPStatus.PRECONDITION_FAILED:
-            self._found()
-            return Conflict(rows_of(answer))
-        self._lost(str(answer.status))
-        if answer.status in _REFUSALS:
-            raise StoreRefused(f'the store answered {answer.status}')
-        raise StoreUncertain(f'the store answered {answer.status}')
-
-    def _answered(self, answer: JsonAnswer) -> JsonAnswer:
-        if answer.status == HTTPStatus.GONE:
+    def _to_commit_result(self, response: JsonResponse) -> Committed | Conflict:
+        if response.status == HTTPStatus.OK:
+            self._mark_reachable()
+            return Committed(version_of(response, StoreUncertain))
+        if response.status == HTTPStatus.PRECONDITION_FAILED:
+            self._mark_reachable()
+            return Conflict(rows_of(response))
+        self._mark_unreachable(str(response.status))
+        if response.status in _REFUSAL_STATUSES:
+            raise StoreRefused(f'store returned status {response.status}')
+        raise StoreUncertain(f'store returned status {response.status}')
+
+    def _checked_response(self, response: JsonResponse) -> JsonResponse:
+        if response.status == HTTPStatus.GONE:
             raise HistoryLost
-        if answer.status != HTTPStatus.OK:
-            self._lost(str(answer.status))
-            raise StoreRefused(f'the store answered {answer.status}')
-        self._found()
-        return answer
-
-    def _uncertain(self, failure: TwistedFailure) -> None:
-        self._lost(repr(failure.value))
+        if response.status != HTTPStatus.OK:
+            self._mark_unreachable(str(response.status))
+            raise StoreRefused(f'store returned status {response.status}')
+        self._mark_reachable()
+        return response
+
+    def _raise_uncertain(self, failure: TwistedFailure) -> None:
+        self._mark_unreachable(repr(failure.value))
         raise StoreUncertain(repr(failure.value))
 
-    def _unread(self, failure: TwistedFailure) -> None:
+    def _raise_refused(self, failure: TwistedFailure) -> None:
         if failure.check(CancelledError):
-            # Given up by the caller: that says nothing of the store.
+            # The caller has cancelled the call; the store may be reachable.
             failure.raiseException()
-        self._lost(repr(failure.value))
+        self._mark_unreachable(repr(failure.value))
         raise StoreRefused(repr(failure.value))
 
-    def _lost(self, detail: str) -> None:
-        if not self._is_lost:
-            self._is_lost = True
+    def _mark_unreachable(self, detail: str) -> None:
+        if not self._is_unreachable:
+            self._is_unreachable = True
             log_event(Event.STORE_UNREACHABLE, detail=detail)
 
-    def _found(self) -> None:
-        if self._is_lost:
-            self._is_lost = False
+    def _mark_reachable(self) -> None:
+        if self._is_unreachable:
+            self._is_unreachable = False
             log_event(Event.STORE_RECOVERED)
--- a/hyssopring/platform/store_rows.py
+++ b/hyssopring/platform/store_rows.py
@@ -1,4 +1,4 @@
-"""Rows and answers of the platform's store, as its calls carry them."""
+"""Translation of rows and responses of the platform's store."""
 
 import base64
 import math
@@ -14,71 +14,76 @@
     StoreRefused,
 )
 from hyssopring.logs import Event, log_event
-from hyssopring.platform.json_calls import JsonAnswer
+from hyssopring.platform.json_calls import JsonResponse
 
 __all__ = (
     'changes_of',
     'check_fields',
     'only_row',
     'page_of',
-    'place_fields',
     'put_fields',
+    'row_key_fields',
     'rows_of',
     'version_of',
 )
 
-# Characters of a reason in the log.
-_MAX_DETAIL: Final = 200
+# In characters.
+_MAX_LOGGED_DETAIL: Final = 200
 
 
-def place_fields(place: RowKey) -> dict[str, Any]:
-    return {'table': place.table, 'part': place.part, 'key': place.key}
+def row_key_fields(row_key: RowKey) -> dict[str, Any]:
+    return {'table': row_key.table, 'part': row_key.part, 'key': row_key.key}
 
 
 def check_fields(check: RowCheck) -> dict[str, Any]:
-    return {**place_fields(check.row_key), 'ver': check.version}
+    return {**row_key_fields(check.row_key), 'ver': check.version}
 
 
 def put_fields(put: RowPut) -> dict[str, Any]:
-    text = base64.b64encode(put.text.encode()).decode()
-    return {**place_fields(put.row_key), 'value': text}
+    encoded = base64.b64encode(put.text.encode()).decode()
+    return {**row_key_fields(put.row_key), 'value': encoded}
 
 
-def _row(fields: Any) -> Row | None:
-    """Read a row, None if it names no place where it lies."""
+def _parse_row(fields: Any) -> Row | None:
+    """Parse a row; return None if its key is missing or malformed."""
     if not isinstance(fields, dict):
         return None
     table: Any = fields.get('table')
     key: Any = fields.get('key')
     part: Any = fields.get('part', '')
-    if not all(isinstance(name, str) for name in (table, part, key)):
+    if not all(isinstance(component, str) for component in (table, part, key)):
         return None
-    place = RowKey(table, part, key)
+    row_key = RowKey(table, part, key)
     is_removed = bool(fields.get('removed'))
-    # A version that is none is 0: no write that checks it is carried out.
+    # A malformed version becomes 0, so that writes that check it fail.
     version = fields.get('ver', 0)
-    known = version if _is_version(version) else 0
-    return Row(place, _text(place, fields.get('value')), known, is_removed)
+    valid_version = version if _is_version(version) else 0
+    return Row(
+        row_key,
+        _decode_text(row_key, fields.get('value')),
+        valid_version,
+        is_removed,
+    )
 
 
-def _text(place: RowKey, encoded: Any) -> str:
-    """Return a value's text, none for one that cannot be read.
+def _decode_text(row_key: RowKey, encoded: Any) -> str:
+    """Decode a value; return an empty text for a malformed one.
 
-    The row stays: its key and version tell what must be waited for, and no
-    reader of documents takes an empty text for one.
+    The row is kept, because its key and version are needed, and no parser of
+    documents accepts an empty text.
     """
     try:
         return base64.b64decode(
             '' if encoded is None else encoded, validate=True
         ).decode()
     except (TypeError, ValueError) as error:
-        _say(f'{place.table}/{place.part}/{place.key}', error)
+        _log_malformed(f'{row_key.table}/{row_key.part}/{row_key.key}', error)
     return ''
 
 
-def _say(peer: str, detail: object) -> None:
-    text = str(detail)[:_MAX_DETAIL]
-    log_event(Event.PEER_ERROR, peer=peer, detail=text)
+def _log_malformed(peer: str, detail: object) -> None:
+    shortened = str(detail)[:_MAX_LOGGED_DETAIL]
+    log_event(Event.PEER_ERROR, peer=peer, detail=shortened)
 
 
 def _is_version(version: Any) -> bool:
@@ -86,49 +91,49 @@
     return is_count and version >= 0
 
 
-def version_of(answer: JsonAnswer, error: type[Exception]) -> int:
-    version: Any = answer.fields.get('ver')
+def version_of(response: JsonResponse, error: type[Exception]) -> int:
+    version: Any = response.fields.get('ver')
     if _is_version(version):
         return int(version)
-    raise error('the store answered without a version')
+    raise error('store response has no valid version')
 
 
-def _read_ms(answer: JsonAnswer) -> float | None:
-    """Return the store's steady clock, None where the answer has none."""
-    reading: Any = answer.fields.get('nowMs')
-    if isinstance(reading, bool) or not isinstance(reading, int | float):
+def _read_ms(response: JsonResponse) -> float | None:
+    """Return the store's monotonic time, None if the response has none."""
+    now_ms: Any = response.fields.get('nowMs')
+    if isinstance(now_ms, bool) or not isinstance(now_ms, int | float):
         return None
-    return float(reading) if math.isfinite(reading) else None
+    return float(now_ms) if math.isfinite(now_ms) else None
 
 
-def rows_of(answer: JsonAnswer) -> tuple[Row, ...]:
-    listed = answer.fields.get('rows', [])
+def rows_of(response: JsonResponse) -> tuple[Row, ...]:
+    listed = response.fields.get('rows', [])
     if not isinstance(listed, list):
-        raise StoreRefused('the store answered without rows')
-    rows = [_row(fields) for fields in listed]
-    found = tuple(row for row in rows if row is not None)
-    if len(found) < len(rows):
-        _say('store', 'a row that lies nowhere')
-    return found
+        raise StoreRefused('store response has no list of rows')
+    rows = [_parse_row(fields) for fields in listed]
+    valid_rows = tuple(row for row in rows if row is not None)
+    if len(valid_rows) < len(rows):
+        _log_malformed('store', 'row without a valid key')
+    return valid_rows
 
 
-def page_of(answer: JsonAnswer) -> Page:
-    rows = rows_of(answer)
-    has_more = bool(answer.fields.get('hasMore'))
+def page_of(response: JsonResponse) -> Page:
+    rows = rows_of(response)
+    has_more = bool(response.fields.get('hasMore'))
     if has_more and not rows:
-        # The next page begins after the last row's key.
-        raise StoreRefused('the store answered a page of no rows')
-    version = version_of(answer, StoreRefused)
-    return Page(rows, has_more, version, _read_ms(answer))
+        # Without a last row the next page cannot be requested.
+        raise StoreRefused('store returned an empty page that is not the last')
+    version = version_of(response, StoreRefused)
+    return Page(rows, has_more, version, _read_ms(response))
 
 
 def only_row(page: Page, key: str) -> Row | None:
-    """The range begins at the key: its row is the first, if there is one."""
+    """Return the row with this key from a range that begins at the key."""
     if page.rows and page.rows[0].row_key.key == key:
         return page.rows[0]
     return None
 
 
-def changes_of(answer: JsonAnswer) -> Changes:
-    version = version_of(answer, StoreRefused)
-    return Changes(rows_of(answer), version, _read_ms(answer))
+def changes_of(response: JsonResponse) -> Changes:
+    version = version_of(response, StoreRefused)
+    return Changes(rows_of(response), version, _read_ms(response))
--- a/hyssopring/platform/worker.py
+++ b/hyssopring/platform/worker.py
@@ -1,4 +1,4 @@
-"""A runner of the platform as ``jobs.worker_port.WorkerPort``."""
+"""Implementation of ``WorkerPort`` by a runner of the platform."""
 
 import re
 from dataclasses import replace
@@ -24,21 +24,21 @@
 from hyssopring.logs import Event, log_event
 from hyssopring.platform.incarnation import (
     RestartLog,
-    listed_boot,
+    responding_boot,
     worker_id,
 )
-from hyssopring.platform.json_calls import JsonAnswer, JsonClient
+from hyssopring.platform.json_calls import JsonClient, JsonResponse
 
 __all__ = ('PlatformWorker',)
 
 _MAX_CONNECTIONS: Final = 8
 _IDLE_S: Final = 30
-# The runner is on the same machine and answers within a few ms.
+# The runner is on the same machine and responds within a few ms.
 _TIMEOUT_MS: Final = 400.0
 
-# Runs that 'broken' (another member ended), 'alone' and 'lapsed' name were
-# not at fault: they run again, like stopped ones.
-_END_BY_WORD: Final[Mapping[str, AttemptEnd]] = MappingProxyType(
+# 'broken' (another task of the gang ended), 'alone' and 'lapsed' are not
+# failures of the attempt: the task runs again, as after a stop.
+_END_BY_NAME: Final[Mapping[str, AttemptEnd]] = MappingProxyType(
     {
         'done': AttemptEnd.DONE,
         'failed': AttemptEnd.FAILED,
@@ -48,9 +48,9 @@
         'alone': AttemptEnd.STOPPED,
     },
 )
-# Characters of an odd row in the log, and kinds of them that are said once.
-_MAX_DETAIL: Final = 200
-_MAX_SAID: Final = 50
+# Characters of a malformed row in the log, and the number of kinds logged.
+_MAX_LOGGED_DETAIL: Final = 200
+_MAX_LOGGED_KINDS: Final = 50
 _OUTCOME_BY_REASON: Final[Mapping[str, StartOutcome]] = MappingProxyType(
     {
         'fence': StartOutcome.FENCED,
@@ -69,17 +69,16 @@
     },
 )
 
-
-_Say = Callable[[str, object], None]
-# A job's id, then the numbers of occurrence, step and task.
-_TASK: Final = re.compile('[0-9a-f]{16}([.][0-9]{1,9}){3}')
-# What stands for the fields that a row lacks.
-_NO_FIGURES: Final = (None, None, None, None, None)
-_MAX_COUNT: Final = 2**53
+_LogMalformed = Callable[[str, object], None]
+# The id of a job, then the numbers of its occurrence, step and task.
+_TASK_ID: Final = re.compile('[0-9a-f]{16}([.][0-9]{1,9}){3}')
+# Padding for rows with missing fields.
+_MISSING_FIELDS: Final = (None, None, None, None, None)
+_MAX_EXACT_INTEGER: Final = 2**53
 
 
 class PlatformWorker:
-    """Calls the runner on the same machine."""
+    """Client of the runner on the same machine."""
 
     def __init__(self, reactor: Any, address: str) -> None:
         """Connect lazily to the runner at HOST:PORT."""
@@ -89,44 +88,44 @@
             _MAX_CONNECTIONS,
             _IDLE_S,
         )
-        self._said: set[str] = set()
+        self._logged_kinds: set[str] = set()
         self._restarts = RestartLog()
         self._boot = ''
 
-    def poll(self, look: PollRequest) -> Deferred:
+    def poll(self, request: PollRequest) -> Deferred:
         """See ``WorkerPort``."""
-        self._meet(look.boot)
+        self._switch_to(request.boot)
         fields: dict[str, Any] = {
-            'fencingToken': look.fence,
-            'lastSeen': look.acked_through,
+            'fencingToken': request.fence,
+            'lastSeen': request.acked_through,
         }
-        if look.hold_until_ms is not None:
-            fields['untilMs'] = look.hold_until_ms
-        if look.wait_ms:
-            fields['waitMs'] = look.wait_ms
-        calling = self._call(
+        if request.hold_until_ms is not None:
+            fields['untilMs'] = request.hold_until_ms
+        if request.wait_ms:
+            fields['waitMs'] = request.wait_ms
+        call = self._call(
             '/-/hold',
-            look.boot,
+            request.boot,
             fields,
-            look.timeout_ms,
+            request.timeout_ms,
         )
-        return calling.addCallback(self._listed, look)
+        return call.addCallback(self._to_listing, request)
 
-    def start(self, start: StartRequest) -> Deferred:
+    def start(self, request: StartRequest) -> Deferred:
         """See ``WorkerPort``."""
         fields = {
-            'task': start.task,
-            'runId': start.attempt,
-            'spec': start.payload,
-            'untilMs': start.hold_until_ms,
-            'fencingToken': start.fence,
+            'task': request.task,
+            'runId': request.attempt,
+            'spec': request.payload,
+            'untilMs': request.hold_until_ms,
+            'fencingToken': request.fence,
         }
-        if start.checkpoint:
-            fields['checkpoint'] = start.checkpoint
-        if start.ticket:
-            fields['ticket'] = start.ticket
-        calling = self._call('/-/run-start', start.boot, fields, _TIMEOUT_MS)
-        return calling.addCallback(_outcome)
+        if request.checkpoint:
+            fields['checkpoint'] = request.checkpoint
+        if request.ticket:
+            fields['ticket'] = request.ticket
+        call = self._call('/-/run-start', request.boot, fields, _TIMEOUT_MS)
+        return call.addCallback(_start_outcome)
 
     def stop(
         self,
@@ -137,8 +136,8 @@
     ) -> Deferred:
         """See ``WorkerPort``."""
         fields = {'task': task, 'runId': attempt, 'fencingToken': fence}
-        calling = self._call('/-/run-stop', boot, fields, _TIMEOUT_MS)
-        return calling.addCallback(_taken)
+        call = self._call('/-/run-stop', boot, fields, _TIMEOUT_MS)
+        return call.addCallback(_check_order)
 
     def set_pace(
         self,
@@ -155,32 +154,41 @@
             'percent': percent,
             'fencingToken': fence,
         }
-        calling = self._call('/-/pace', boot, fields, _TIMEOUT_MS)
-        return calling.addCallback(_taken)
+        call = self._call('/-/pace', boot, fields, _TIMEOUT_MS)
+        return call.addCallback(_check_order)
 
-    def _meet(self, boot: str) -> None:
-        """Use no connection to a former boot: it may be silent for good."""
+    def _switch_to(self, boot: str) -> None:
+        """Close connections to a previous boot: it may never respond again."""
         if boot != self._boot:
             self._boot = boot
             self._client.close_idle()
 
-    def _listed(self, answer: JsonAnswer, look: PollRequest) -> Listing:
-        fields = answer.fields
-        self._restarts.listed(worker_id(look.boot), fields, look.acked_through)
-        listing = _listing(answer, self._say)
-        boot = listed_boot(look.boot, fields.get('born'))
+    def _to_listing(
+        self, response: JsonResponse, request: PollRequest
+    ) -> Listing:
+        fields = response.fields
+        self._restarts.check_listing(
+            worker_id(request.boot),
+            fields,
+            request.acked_through,
+        )
+        listing = _listing_of(response, self._log_malformed)
+        boot = responding_boot(request.boot, fields.get('born'))
         return replace(listing, boot=boot)
 
-    def _say(self, kind: str, found: object) -> None:
-        """Log one kind of what is odd once: each look lists it again."""
-        if kind in self._said or len(self._said) >= _MAX_SAID:
+    def _log_malformed(self, kind: str, malformed: object) -> None:
+        """Log each kind of malformed content once: each poll lists it again."""
+        if (
+            kind in self._logged_kinds
+            or len(self._logged_kinds) >= _MAX_LOGGED_KINDS
+        ):
             return
-        self._said.add(kind)
+        self._logged_kinds.add(kind)
         log_event(
             Event.PEER_ERROR,
             peer='worker',
             kind=kind,
-            detail=repr(found)[:_MAX_DETAIL],
+            detail=repr(malformed)[:_MAX_LOGGED_DETAIL],
         )
 
     def _call(
@@ -190,142 +198,154 @@
         fields: dict[str, Any],
         timeout_ms: float,
     ) -> Deferred:
-        calling = self._client.call(
+        call = self._client.call(
             'POST',
             path,
             fields,
             timeout_ms,
             (('Expected-Instance', worker_id(boot)),),
         )
-        return calling.addCallbacks(_same_boot, _unreachable)
+        return call.addCallbacks(_check_boot, _raise_unreachable)
 
 
-def _unreachable(failure: TwistedFailure) -> None:
+def _raise_unreachable(failure: TwistedFailure) -> None:
     raise WorkerUnreachable(repr(failure.value))
 
 
-def _same_boot(answer: JsonAnswer) -> JsonAnswer:
-    if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
+def _check_boot(response: JsonResponse) -> JsonResponse:
+    if response.status == HTTPStatus.MISDIRECTED_REQUEST:
         raise WorkerReplaced
-    return answer
+    return response
 
 
-def _taken(answer: JsonAnswer) -> JsonAnswer:
-    """A conflict means that there is nothing left to do for the order.
+def _check_order(response: JsonResponse) -> JsonResponse:
+    """Treat a conflict as success: the order has nothing left to do.
 
-    But for one: a worker that has seen a higher fence has done nothing, and
-    the order is to be sent again. Taken for done, a cancelled task ran on.
+    The exception is a worker that has seen a higher fence. It has ignored the
+    order, which must be sent again: a cancelled task would otherwise run on.
     """
-    if answer.fields.get('reason') == 'fence':
-        raise WorkerFenced('an order with a higher fence came first')
-    if answer.status not in {HTTPStatus.OK, HTTPStatus.CONFLICT}:
-        raise WorkerUnreachable(f'the runner answered {answer.status}')
-    return answer
+    if response.fields.get('reason') == 'fence':
+        raise WorkerFenced('worker has received an order with a higher fence')
+    if response.status not in {HTTPStatus.OK, HTTPStatus.CONFLICT}:
+        raise WorkerUnreachable(f'runner returned status {response.status}')
+    return response
 
 
-def _outcome(answer: JsonAnswer) -> StartOutcome:
-    if answer.status == HTTPStatus.CONFLICT:
-        reason = str(answer.fields.get('reason', ''))
+def _start_outcome(response: JsonResponse) -> StartOutcome:
+    if response.status == HTTPStatus.CONFLICT:
+        reason = str(response.fields.get('reason', ''))
         return _OUTCOME_BY_REASON.get(reason, StartOutcome.INVALID)
-    outcome = _OUTCOME_BY_STATUS.get(answer.status)
+    outcome = _OUTCOME_BY_STATUS.get(response.status)
     if outcome is None:
-        raise WorkerUnreachable(f'the runner answered {answer.status}')
+        raise WorkerUnreachable(f'runner returned status {response.status}')
     return outcome
 
 
-def _listing(answer: JsonAnswer, say: _Say) -> Listing:
-    if answer.fields.get('reason') == 'fence':
-        raise WorkerFenced('an order with a higher fence came first')
-    if answer.status != HTTPStatus.OK:
-        raise WorkerUnreachable(f'the runner answered {answer.status}')
+def _listing_of(
+    response: JsonResponse, log_malformed: _LogMalformed
+) -> Listing:
+    if response.fields.get('reason') == 'fence':
+        raise WorkerFenced('worker has received an order with a higher fence')
+    if response.status != HTTPStatus.OK:
+        raise WorkerUnreachable(f'runner returned status {response.status}')
     try:
-        return _read_listing(answer.fields, say)
+        return _parse_listing(response.fields, log_malformed)
     except (KeyError, TypeError, ValueError) as error:
-        say('listing', error)
+        log_malformed('listing', error)
         raise WorkerUnreachable(repr(error)) from error
 
 
-def _read_listing(fields: dict[str, Any], say: _Say) -> Listing:
-    """Read what can be read of a listing.
+def _parse_listing(
+    fields: dict[str, Any], log_malformed: _LogMalformed
+) -> Listing:
+    """Parse a listing and skip its malformed rows.
 
-    A row of what runs that cannot be read hides no other, and as it may be
-    any attempt's, nothing is taken for over that is not listed.
+    A malformed row of a running attempt may be that of any attempt. The listing
+    is then incomplete: attempts that are not listed may still run.
     """
     listed = list(fields.get('running', ()))
-    rows = tuple(row for row in map(_run, listed) if row is not None)
+    rows = tuple(row for row in map(_parse_run, listed) if row is not None)
     if len(rows) < len(listed):
-        say('running', [row for row in listed if _run(row) is None])
-    ends = [_end(row, say) for row in fields.get('finished', ())]
-    named = tuple(end for end in ends if isinstance(end, EndRow))
-    voids = [end for end in ends if isinstance(end, int)]
+        log_malformed(
+            'running', [row for row in listed if _parse_run(row) is None]
+        )
+    ends = [
+        _parse_end(row, log_malformed) for row in fields.get('finished', ())
+    ]
+    identified = tuple(end for end in ends if isinstance(end, EndRow))
+    unidentified = [end for end in ends if isinstance(end, int)]
     return Listing(
-        _clock(fields['clockMs']),
+        _parse_clock(fields['clockMs']),
         rows,
-        named,
+        identified,
         len(rows) == len(listed),
-        max(voids, default=0),
+        max(unidentified, default=0),
     )
 
 
-def _run(row: Any) -> WorkerRow | None:
-    """Read an attempt that runs, None if no task can be told.
+def _parse_run(row: Any) -> WorkerRow | None:
+    """Parse a running attempt; return None if its task is malformed.
 
-    The task's name is what keeps it from a second start: an attempt of an
-    unreadable number is 0, below all numbers that are given.
+    The name of the task suffices to prevent a second start, so a malformed
+    attempt number becomes 0, which is lower than all assigned numbers.
     """
     if not isinstance(row, list) or not row or not _is_task(row[0]):
         return None
-    figures = [*row, *_NO_FIGURES]
+    cells = [*row, *_MISSING_FIELDS]
     return WorkerRow(
-        figures[0],
-        _count(figures[1]),
-        _text(figures[2]),
-        _count(figures[3]),
-        _count(figures[4]),
+        cells[0],
+        _count(cells[1]),
+        _checkpoint(cells[2]),
+        _count(cells[3]),
+        _count(cells[4]),
     )
 
 
-def _end(row: Any, say: _Say) -> EndRow | int:
-    """Read an end; its number alone if no attempt can be told.
+def _parse_end(row: Any, log_malformed: _LogMalformed) -> EndRow | int:
+    """Parse an end; return its number alone if its attempt is malformed.
 
-    Such an end is to be forgotten: kept, it would be listed for good. Its
-    task is not listed as running any more, and runs again. So does one that
-    ended in an unknown way: it runs no more, and is not known to be done.
+    Such an unidentified end must be acknowledged too, or it would be listed for
+    ever. Its task is no longer listed as running and runs again. A task that
+    ended in an unknown way runs again as well: it is not known to be done.
     """
     if not isinstance(row, list) or not row:
-        say('finished', row)
+        log_malformed('finished', row)
         return 0
-    figures = [*row, *_NO_FIGURES]
-    number, attempt = _count(figures[0]), _count(figures[2])
-    if not _is_task(figures[1]) or not number or not attempt:
-        say('finished', row)
+    cells = [*row, *_MISSING_FIELDS]
+    number, attempt = _count(cells[0]), _count(cells[2])
+    if not _is_task(cells[1]) or not number or not attempt:
+        log_malformed('finished', row)
         return number
-    how = figures[3]
-    known = _END_BY_WORD.get(how) if isinstance(how, str) else None
-    if known is None:
-        say('how', how)
-        known = AttemptEnd.STOPPED
-    return EndRow(number, figures[1], attempt, known, _text(figures[4]))
+    how = cells[3]
+    attempt_end = _END_BY_NAME.get(how) if isinstance(how, str) else None
+    if attempt_end is None:
+        log_malformed('how', how)
+        attempt_end = AttemptEnd.STOPPED
+    return EndRow(number, cells[1], attempt, attempt_end, _checkpoint(cells[4]))
 
 
-def _count(figure: Any) -> int:
-    """Return a figure, 0 for one that is none or does not go on the wire."""
-    if isinstance(figure, bool) or not isinstance(figure, int):
+def _count(candidate: Any) -> int:
+    """Return a non-negative exact integer, 0 for anything else."""
+    if isinstance(candidate, bool) or not isinstance(candidate, int):
         return 0
-    return figure if 0 <= figure < _MAX_COUNT else 0
+    return candidate if 0 <= candidate < _MAX_EXACT_INTEGER else 0
+
 
+def _parse_clock(candidate: Any) -> int:
+    """Return the worker's clock, on which the expiry of all holds depends.
 
-def _clock(figure: Any) -> int:
-    """Return the worker's clock; raises ValueError: all holds hang on it."""
-    if _count(figure) == figure:
-        return int(figure)
-    raise ValueError('no clock')
+    Raises:
+        ValueError: The clock is malformed.
+    """
+    if _count(candidate) == candidate:
+        return int(candidate)
+    raise ValueError('clockMs is not a non-negative integer')
 
 
-def _text(saved: Any) -> str:
-    return saved if isinstance(saved, str) else ''
+def _checkpoint(candidate: Any) -> str:
+    return candidate if isinstance(candidate, str) else ''
 
 
 def _is_task(name: Any) -> bool:
-    """Whether this names a task as ours are named."""
-    return isinstance(name, str) and _TASK.fullmatch(name) is not None
+    """Return whether this is a well-formed name of a task."""
+    return isinstance(name, str) and _TASK_ID.fullmatch(name) is not None
--- a/standins/configuration_site.py
+++ b/standins/configuration_site.py
@@ -38,7 +38,7 @@
         self.follower = ConfigurationFollower(
             site.reactor, store, self._configured
         )
-        self.shared.on_stored = self.follower.take_from_peer
+        self.shared.on_stored = self.follower.apply_from_peer
 
     @property
     def connected_entries(self):
--- a/standins/runner_wire.py
+++ b/standins/runner_wire.py
@@ -15,7 +15,7 @@
     WorkerFenced,
     WorkerReplaced,
 )
-from hyssopring.platform.json_calls import JsonAnswer
+from hyssopring.platform.json_calls import JsonResponse
 
 REASON_BY_OUTCOME = {
     StartOutcome.FENCED: 'fence',
@@ -101,12 +101,12 @@
         """There are no connections here."""
 
     def call(self, _method, path, fields, timeout_ms, headers=()):
-        """Return a deferred ``JsonAnswer``."""
+        """Return a deferred ``JsonResponse``."""
         worker_id = dict(headers)['Expected-Instance']
         answer = Deferred()
         calling = self._calls.call(path, worker_id, fields, timeout_ms)
         calling.addCallbacks(
-            lambda told: answer.callback(JsonAnswer(*told)), answer.errback
+            lambda told: answer.callback(JsonResponse(*told)), answer.errback
         )
         return answer
 
--- a/tests/test_jobs_configuration.py
+++ b/tests/test_jobs_configuration.py
@@ -114,7 +114,7 @@
     )
     follower.start()
     for version in (7, 6, 7, 9):
-        follower.take_from_peer(StoredConfiguration(TABLE % version, 0))
+        follower.apply_from_peer(StoredConfiguration(TABLE % version, 0))
     assert tables == [7, 9]
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -33,10 +33,10 @@
     WorkerReplaced,
 )
 from hyssopring.metrics import Metrics
-from hyssopring.platform.advice import PlatformAdvice, advice_port
+from hyssopring.platform.advice import PlatformAdvice, advice_client_for
 from hyssopring.platform.callers import read_job
 from hyssopring.platform.configuration import read_configuration
-from hyssopring.platform.json_calls import JsonAnswer
+from hyssopring.platform.json_calls import JsonResponse
 from hyssopring.platform.settings import load_node_settings
 from hyssopring.platform.store import PlatformStore
 from hyssopring.platform.worker import PlatformWorker
@@ -175,7 +175,7 @@
     """Stands for the HTTP client: gives one answer, or fails."""
 
     def __init__(self, status=200, fields=None, error=None):
-        self.answer = JsonAnswer(status, fields or {})
+        self.answer = JsonResponse(status, fields or {})
         self.error = error
         self.calls = []
         self.closings = 0
@@ -321,7 +321,7 @@
 
 
 def test_without_an_address_each_question_fails():
-    asked = advice_port(None, '').ask(QUESTION)
+    asked = advice_client_for(None, '').ask(QUESTION)
     assert result_of(asked).check(AdviceUnavailable)
 
 
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -63,7 +63,7 @@
 def test_garbage_is_collected_once_a_role_has_started():
     gc.disable()
     try:
-        roles._collect_from_now_on()
+        roles._enable_garbage_collector()
         assert gc.isenabled()
         assert gc.get_freeze_count()
     finally:
