--- a/hyssopring/logs/_emit.py
+++ b/hyssopring/logs/_emit.py
@@ -1,8 +1,8 @@
-"""Writes structured log lines through loguru.
+"""Writing of structured log lines through loguru.
 
-A line is written for each routing decision, so its cost counts: the time of
+A line is written for each routing decision, so its cost matters: the time of
 day is formatted once a second here instead of once a line by the library, and
-a line below the level is not put together at all.
+lines below the level are not formatted at all.
 """
 
 import json
@@ -17,13 +17,13 @@
 from hyssopring.logs.events import Event
 from hyssopring.logs.line_writer import LineWriter
 
-# The message carries its own time and level, see ``_Stamp``.
+# The message already contains the time and the level, see ``_LocalClock``.
 _LINE_FORMAT = '{message}'
 
 Fields = Mapping[str, object]
 Listener = Callable[[Event, Fields], None]
 
-# Events that are not at the INFO level.
+# All other events have the level INFO.
 _LEVEL_BY_EVENT: Mapping[Event, str] = MappingProxyType(
     {
         Event.INVARIANT_VIOLATED: 'ERROR',
@@ -46,7 +46,7 @@
         Event.REQUEST_ANSWERED: 'DEBUG',
     }
 )
-_NUMBER_BY_LEVEL: Mapping[str, int] = MappingProxyType(
+_LEVEL_NUMBER_BY_NAME: Mapping[str, int] = MappingProxyType(
     {
         level: logger.level(level).no
         for level in ('DEBUG', 'INFO', 'WARNING', 'ERROR')
@@ -55,8 +55,8 @@
 
 
 def configure_logging(level: str = 'INFO') -> None:
-    """Send log lines of ``level`` and above to standard error."""
-    _threshold.number = logger.level(level).no
+    """Write log lines of ``level`` and above to standard error as text."""
+    _output.min_level_number = logger.level(level).no
     logger.remove()
     logger.add(
         sys.stderr,
@@ -68,9 +68,12 @@
 
 
 def configure_json_logging(level: str = 'INFO') -> LineWriter:
-    """Write one JSON object a line to standard output, never blocking."""
-    _threshold.number = logger.level(level).no
-    _threshold.is_json = True
+    """Write lines of ``level`` and above to standard output as JSON objects.
+
+    Writing never blocks; see ``LineWriter``.
+    """
+    _output.min_level_number = logger.level(level).no
+    _output.is_json = True
     writer = LineWriter(sys.stdout.fileno())
     logger.remove()
     logger.add(
@@ -84,68 +87,71 @@
     return writer
 
 
-class _Stamp:
-    """The local time of day, to the millisecond."""
+class _LocalClock:
+    """Reads the local time as text, in milliseconds, and caches a second."""
 
     def __init__(self) -> None:
         self._second = -1
-        self._text = ''
+        self._formatted_second = ''
 
     def read(self) -> str:
-        now = time.time()
-        second = int(now)
+        now_s = time.time()
+        second = int(now_s)
         if second != self._second:
             self._second = second
-            self._text = time.strftime(
+            self._formatted_second = time.strftime(
                 '%Y-%m-%dT%H:%M:%S',
                 time.localtime(second),
             )
-        millis = int((now - second) * MILLIS_PER_SECOND)
-        return f'{self._text}.{millis:03}'
+        millis = int((now_s - second) * MILLIS_PER_SECOND)
+        return f'{self._formatted_second}.{millis:03}'
 
 
-class _Threshold:
-    """The lowest level number that is written."""
+class _Output:
+    """The configured format and lowest level of the lines written."""
 
-    number = 0
+    min_level_number = 0
     is_json = False
 
 
 _listeners: list[Listener] = []
-_stamp = _Stamp()
-_threshold = _Threshold()
+_clock = _LocalClock()
+_output = _Output()
 
 
 def listen_to_events(listener: Listener) -> None:
-    """Give every event of this process to ``listener``, at any level."""
+    """Call ``listener`` with every event of this process, at any level."""
     _listeners.append(listener)
 
 
 def level_of(event: Event) -> str:
-    """Return the level at which an event is written."""
+    """Return the name of the level at which an event is written."""
     return _LEVEL_BY_EVENT.get(event, 'INFO')
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Write one line: event number, event name, then ``key=value`` pairs."""
+    """Write one line with the event's number, its name and the fields.
+
+    Listeners receive the event even if its level is not written.
+    """
     level = level_of(event)
-    if _NUMBER_BY_LEVEL[level] >= _threshold.number:
-        render = _json_line if _threshold.is_json else _text_line
-        logger.log(level, render(level, event, fields))
+    if _LEVEL_NUMBER_BY_NAME[level] >= _output.min_level_number:
+        format_line = _format_json if _output.is_json else _format_text
+        logger.log(level, format_line(level, event, fields))
     for listener in _listeners:
         listener(event, fields)
 
 
-def _text_line(level: str, event: Event, fields: Fields) -> str:
+def _format_text(level: str, event: Event, fields: Fields) -> str:
     pairs = ' '.join(
-        [f'{name}={_quoted(field)}' for name, field in fields.items()]
+        [f'{name}={_quote(field)}' for name, field in fields.items()]
     )
-    return f'{_stamp.read()} {level:<7} E{event.value} {event.name} {pairs}'
+    return f'{_clock.read()} {level:<7} E{event.value} {event.name} {pairs}'
 
 
-def _json_line(level: str, event: Event, fields: Fields) -> str:
+def _format_json(level: str, event: Event, fields: Fields) -> str:
     line = {
-        'at': _stamp.read(),
+        'at': _clock.read(),
         'level': level,
         'event': event.value,
         'name': event.name,
@@ -154,7 +160,7 @@
     return json.dumps(line, default=str)
 
 
-def _quoted(field: object) -> str:
+def _quote(field: object) -> str:
     text = str(field)
     if not text or ' ' in text or '\n' in text or '"' in text:
         escaped = text.replace('"', "'").replace('\n', ' ')
--- a/hyssopring/logs/events.py
+++ b/hyssopring/logs/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/EVENTS.md is their catalogue."""
+"""Numbered log events; docs/EVENTS.md documents each of them."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Event(enum.IntEnum):
-    """Every kind of log line that the daemons write.
+    """Every event that the daemons log, with its number.
 
     1xxx requests, 2xxx membership, 3xxx tasks and placement,
     4xxx configuration, 5xxx store, 6xxx process, 9xxx invariants.
--- a/hyssopring/settings/__main__.py
+++ b/hyssopring/settings/__main__.py
@@ -1,4 +1,4 @@
-"""Prints docs/SETTINGS.md: ``python -m hyssopring.settings``."""
+"""Print docs/SETTINGS.md: ``python -m hyssopring.settings``."""
 
 import sys
 
--- a/hyssopring/settings/loading.py
+++ b/hyssopring/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads settings files: JSON with comments, checked by the models."""
+"""Loading of settings files: JSON with comments, validated by the models."""
 
 import json
 import pathlib
@@ -24,23 +24,23 @@
     'role_of',
 )
 
-# The reader of JSON with comments took 1.8 s of processor time for 61,660
-# characters and twice that for 124,452, where the language's own took 1 and
-# 2 ms: 60 MB would take half an hour at that rate. The longest settings of
-# the examples have 504. Plain JSON of any length is read.
-_MAX_COMMENTED: Final = 65_536
+# json5 takes 1.8 s of processor time for 61,660 characters and twice that for
+# 124,452, the json module 1 and 2 ms; at that rate 60 MB would take json5 half
+# an hour. The longest settings file of the examples has 504 characters. The
+# length of plain JSON is not limited.
+_MAX_JSON5_SIZE: Final = 65_536
 
 _Model = TypeVar('_Model', bound=BaseModel)
-_Roles = tuple[type[BaseModel], ...]
-_ROLES: _Roles = (EntrySettings, AgentSettings, OperatorSettings)
+_Models = tuple[type[BaseModel], ...]
+_ROLE_MODELS: _Models = (EntrySettings, AgentSettings, OperatorSettings)
 
 
 def load_settings(path: str, model: type[_Model]) -> Result[_Model, Failure]:
-    """Read and check one file.
+    """Read and validate one file.
 
     Returns:
-        The settings, or a failure whose detail is one line that names the
-        file, the key, what was found and what is allowed.
+        The settings, or a failure whose detail is one line with the file, the
+        key, the value and the allowed values.
     """
     document = read_document(path)
     if document.is_err():
@@ -53,15 +53,15 @@
     document: object,
     model: type[_Model],
 ) -> Result[_Model, Failure]:
-    """Check what was read from a file, as ``load_settings`` does."""
+    """Validate the parsed content of a file, as ``load_settings`` does."""
     try:
-        return Ok(model.model_validate(_tupled(document)))
+        return Ok(model.model_validate(_with_tuples(document)))
     except ValidationError as error:
         return Err(_invalid(path, describe_problems(error, model)))
 
 
 def read_document(path: str) -> Result[Any, Failure]:
-    """Read one file of JSON with comments, without checking its keys."""
+    """Read one file of JSON with comments, without validating its keys."""
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
     except OSError as error:
@@ -75,42 +75,44 @@
 
 
 def parse_commented(text: str) -> Any:
-    """Parse JSON with comments, quickly if it has none.
+    """Parse JSON with comments; plain JSON takes the faster parser.
 
     Raises:
-        ValueError: It is neither, names a key twice, or is too long to be
-            read with comments.
+        ValueError: The text is malformed, an object has a duplicate key, or
+            the text is not plain JSON and too long for the slower parser.
     """
     try:
-        return json.loads(text, object_pairs_hook=_unique)
+        return json.loads(text, object_pairs_hook=_object_of)
     except ValueError as error:
-        if len(text) > _MAX_COMMENTED:
+        if len(text) > _MAX_JSON5_SIZE:
             raise ValueError(
-                f'{error}; with comments at most {_MAX_COMMENTED} characters '
+                f'{error}; with comments at most {_MAX_JSON5_SIZE} characters '
                 + f'are read, found {len(text)}',
             ) from error
     return json5.loads(text, allow_duplicate_keys=False)
 
 
 def role_of(document: object) -> type[BaseModel]:
-    """Return the role's model that shares most keys with a document."""
+    """Return the model that has most keys in common with a document."""
     keys = set(document) if isinstance(document, dict) else set()
-    return max(_ROLES, key=lambda model: len(keys & set(model.model_fields)))
+    return max(
+        _ROLE_MODELS, key=lambda model: len(keys & set(model.model_fields))
+    )
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_of(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     members = dict(pairs)
     if len(members) < len(pairs):
         raise ValueError('an object names a key twice')
     return members
 
 
-def _tupled(document: object) -> object:
-    """Turn JSON lists into tuples, which the strict models ask for."""
+def _with_tuples(document: object) -> object:
+    """Convert JSON lists to tuples, which the strict models require."""
     if isinstance(document, list):
-        return tuple(_tupled(element) for element in document)
+        return tuple(_with_tuples(element) for element in document)
     if isinstance(document, dict):
-        return {key: _tupled(member) for key, member in document.items()}
+        return {key: _with_tuples(member) for key, member in document.items()}
     return document
 
 
--- a/hyssopring/settings/models.py
+++ b/hyssopring/settings/models.py
@@ -20,38 +20,42 @@
     'OperatorSettings',
 )
 
-_NAME = '^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$'
-_ADDRESS = r'^([0-9A-Za-z.-]+|\[[0-9A-Fa-f:]+\]):[0-9]{1,5}$'
-_URL = r'^http://([0-9A-Za-z.-]+|\[[0-9A-Fa-f:]+\])(:[0-9]{1,5})?(/.*)?$'
-_MIN_SECRET = 16
-_MAX_BODY = 8 * 1024 * 1024
+_NAME_PATTERN = '^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$'
+_ADDRESS_PATTERN = r'^([0-9A-Za-z.-]+|\[[0-9A-Fa-f:]+\]):[0-9]{1,5}$'
+_URL_PATTERN = (
+    r'^http://([0-9A-Za-z.-]+|\[[0-9A-Fa-f:]+\])(:[0-9]{1,5})?(/.*)?$'
+)
+_MIN_SECRET_LENGTH = 16
+_MAX_BODY_BYTES = 8 * 1024 * 1024
 _MAX_PORT = 65_535
 _HOUR_MS = 3_600_000
-# A lease is renewed each second: a shorter one than this ends on one lost
-# renewal, so it would lapse whenever a machine is busy for a moment.
+# Leases are renewed each second. A shorter lease would expire after one lost
+# renewal, and so whenever a machine is briefly overloaded.
 _MIN_LEASE_MS = 3000
 _MAX_SHARD_LEASE_MS = 60_000
-# The worst wait before the tasks of a dead VM are placed anew.
+# The longest time until the tasks of a crashed VM are placed again.
 _MAX_BATCH_LEASE_MS = 300_000
 
 
-def _with_port(address: str) -> str:
+def _check_port(address: str) -> str:
     if parse_address(address).port > _MAX_PORT:
         raise ValueError(f'Port should be 0 to {_MAX_PORT}')
     return address
 
 
-def _dialled(address: str) -> str:
+def _check_dialled_port(address: str) -> str:
     if not parse_address(address).port:
         raise ValueError(f'Port should be 1 to {_MAX_PORT}: others dial it')
     return address
 
 
-_Name = Annotated[str, Field(pattern=_NAME)]
-_Address = Annotated[str, Field(pattern=_ADDRESS), AfterValidator(_with_port)]
-_Dialled = Annotated[_Address, AfterValidator(_dialled)]
-_Url = Annotated[str, Field(pattern=_URL)]
-_Secret = Annotated[str, Field(min_length=_MIN_SECRET)]
+_Name = Annotated[str, Field(pattern=_NAME_PATTERN)]
+_Address = Annotated[
+    str, Field(pattern=_ADDRESS_PATTERN), AfterValidator(_check_port)
+]
+_DialledAddress = Annotated[_Address, AfterValidator(_check_dialled_port)]
+_Url = Annotated[str, Field(pattern=_URL_PATTERN)]
+_Secret = Annotated[str, Field(min_length=_MIN_SECRET_LENGTH)]
 _Millis = Annotated[float, Field(ge=10, le=_HOUR_MS)]
 _Level = Literal['TRACE', 'DEBUG', 'INFO', 'WARNING', 'ERROR']
 
@@ -82,7 +86,7 @@
     ] = 0
 
     def to_resources(self) -> Resources:
-        """Return the data class used inside."""
+        """Return the same capacity as the internal data class."""
         return Resources(self.cores, self.memory_gb, self.accelerators)
 
 
@@ -100,7 +104,7 @@
         Field(description="host:port for operators' HTTP, /metrics, /healthz."),
     ]
     inner_address: Annotated[
-        _Dialled,
+        _DialledAddress,
         Field(description='host:port that agents dial.'),
     ]
     store_url: Annotated[
@@ -125,7 +129,7 @@
     ] = 2000
     max_body_bytes: Annotated[
         int,
-        Field(ge=1024, le=_MAX_BODY, description='Largest request body.'),
+        Field(ge=1024, le=_MAX_BODY_BYTES, description='Largest request body.'),
     ] = 1_048_576
     store_timeout_ms: Annotated[
         _Millis,
@@ -181,9 +185,9 @@
 
     @model_validator(mode='after')
     def check_together(self) -> Self:
-        """Refuse values that are possible alone but not together."""
+        """Reject values that are valid alone but not in combination."""
         if self.shard_takeover_ms <= self.shard_lease_ms:
-            # Else a rival would plan a shard that its holder still plans.
+            # Otherwise two entries could plan the same shard at once.
             raise ValueError(
                 f'shard_takeover_ms: found {self.shard_takeover_ms}, should '
                 f'be longer than shard_lease_ms ({self.shard_lease_ms})',
@@ -225,7 +229,7 @@
         Field(description='host:port where backend servers announce.'),
     ]
     entries: Annotated[
-        tuple[_Dialled, ...],
+        tuple[_DialledAddress, ...],
         Field(
             min_length=1,
             description=(
@@ -255,7 +259,7 @@
     """Where the operators' command line connects."""
 
     entry: Annotated[
-        _Dialled,
+        _DialledAddress,
         Field(description="host:port of an entry's operators' port."),
     ]
     token: Annotated[
--- a/hyssopring/settings/reference.py
+++ b/hyssopring/settings/reference.py
@@ -1,4 +1,4 @@
-"""Writes docs/SETTINGS.md from the models."""
+"""Generation of docs/SETTINGS.md from the settings models."""
 
 from typing import Any, Iterator, Mapping
 
@@ -13,7 +13,7 @@
 
 __all__ = ('reference_page',)
 
-_HEAD = """# Settings
+_INTRODUCTION = """# Settings
 
 Made from the models by `python -m hyssopring.settings > docs/SETTINGS.md`; a
 test keeps it true. Files are JSON with comments, those of more than 65,536
@@ -30,7 +30,7 @@
     ('`capacity` of an agent', CapacitySettings),
     ('Operator (`--settings FILE` of the commands)', OperatorSettings),
 )
-_WORDS_BY_LIMIT = (
+_TEMPLATE_BY_LIMIT = (
     ('minimum', 'at least {0}'),
     ('exclusiveMinimum', 'more than {0}'),
     ('maximum', 'at most {0}'),
@@ -40,14 +40,14 @@
 
 
 def reference_page() -> str:
-    """Return the page's text."""
-    parts = [_HEAD]
+    """Return the text of the page."""
+    parts = [_INTRODUCTION]
     for title, model in _SECTIONS:
         parts.append(f'\n## {title}\n\n')
         parts.append('| key | type | allowed | default | meaning |\n')
         parts.append('|---|---|---|---|---|\n')
         parts.extend(_rows(model))
-    parts.append(_tail())
+    parts.append(_combined_rules())
     return ''.join(parts)
 
 
@@ -59,26 +59,26 @@
         cells = (
             f'`{key}`',
             field.get('type', 'object'),
-            _allowed(field),
+            _allowed_values(field),
             _REQUIRED if key in required else f'`{default}`',
             field.get('description', ''),
         )
         yield f'| {" | ".join(cells)} |\n'
 
 
-def _allowed(field: Mapping[str, Any]) -> str:
+def _allowed_values(field: Mapping[str, Any]) -> str:
     choices = field.get('enum')
     if choices:
         return ', '.join(f'`{choice}`' for choice in choices)
-    words = [
+    limits = [
         template.format(field[limit])
-        for limit, template in _WORDS_BY_LIMIT
+        for limit, template in _TEMPLATE_BY_LIMIT
         if limit in field
     ]
-    return ', '.join(words)
+    return ', '.join(limits)
 
 
-def _tail() -> str:
+def _combined_rules() -> str:
     return (
         '\nNames start with a letter or digit; then letters, digits, `.`, `_`\n'
         'and `-`, 63 at most. Addresses are `host:port`, an IPv6 host in\n'
