--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogues in docs/ say what the code does."""
+"""The tables of events and errors in docs/ agree with the code."""
 
 import ast
 import pathlib
@@ -9,8 +9,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
 
-def table(page, columns):
-    """Return a page's table rows by first cell, cut to ``columns`` cells."""
+def read_table(page, columns):
+    """Return a table of a page: rows by first cell, cut to ``columns``."""
     lines = (ROOT / page).read_text().splitlines()
     rows = [line.strip('| ').split(' | ') for line in lines if line[:2] == '| ']
     assert all(len(row) == len(rows[0]) and all(row) for row in rows)
@@ -18,6 +18,7 @@
 
 
 def logged_fields():
+    """Return the keywords of all calls of ``log_event`` by event name."""
     names_by_event = {name: set() for name in Event.__members__}
     for path in (ROOT / 'hyssopring').rglob('*.py'):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -38,17 +39,19 @@
         names = ', '.join(sorted(fields[event.name])) or '-'
         number = str(event.value)
         expected[number] = [number, event.name, level_of(event), names]
-    found = table('docs/EVENTS.md', 4)
-    lacking = [
+    documented = read_table('docs/EVENTS.md', 4)
+    outdated_rows = [
         f'| {" | ".join(row)} | WHEN | WHAT TO DO |'
         for number, row in expected.items()
-        if found.get(number) != row
+        if documented.get(number) != row
     ]
-    assert not lacking, 'rows for docs/EVENTS.md:\n' + '\n'.join(lacking)
-    assert found.keys() == expected.keys()
+    assert not outdated_rows, 'rows for docs/EVENTS.md:\n' + '\n'.join(
+        outdated_rows
+    )
+    assert documented.keys() == expected.keys()
 
 
-def test_error_table_matches_the_closed_list():
+def test_error_table_lists_all_error_kinds():
     expected = {}
     for kind in ErrorKind:
         answer = ANSWERS_BY_KIND[kind]
@@ -56,4 +59,4 @@
         after = str(answer.retry_after_ms or '-')
         row = [name, str(answer.status), answer.run_state.value, after]
         expected[name] = row
-    assert table('docs/ERRORS.md', 4) == expected
+    assert read_table('docs/ERRORS.md', 4) == expected
--- a/tests/test_fuzz_settings.py
+++ b/tests/test_fuzz_settings.py
@@ -1,4 +1,4 @@
-"""Any settings file is either good or refused in one line; never a crash."""
+"""Any settings file is accepted or rejected in one line, without a crash."""
 
 import json
 
@@ -31,16 +31,16 @@
 
 def _load_all(path):
     for model in (EntrySettings, AgentSettings):
-        answer = load_settings(str(path), model)
-        if answer.is_err():
-            detail = answer.unwrap_err().detail
+        loaded = load_settings(str(path), model)
+        if loaded.is_err():
+            detail = loaded.unwrap_err().detail
             assert '\n' not in detail
             assert str(path) in detail
 
 
 @settings(derandomize=True, max_examples=150, deadline=None, database=None)
 @given(document=st.one_of(DOCUMENTS, VALUES))
-def test_any_document_is_taken_or_refused_in_one_line(
+def test_any_document_is_accepted_or_rejected_in_one_line(
     tmp_path_factory, document
 ):
     path = tmp_path_factory.getbasetemp() / 'settings.json'
@@ -55,7 +55,9 @@
         st.text('{}[]:,"/*1e\n', max_size=30).map(str.encode),
     )
 )
-def test_any_bytes_are_taken_or_refused_in_one_line(tmp_path_factory, content):
+def test_any_bytes_are_accepted_or_rejected_in_one_line(
+    tmp_path_factory, content
+):
     path = tmp_path_factory.getbasetemp() / 'settings.bin'
     path.write_bytes(content)
     _load_all(path)
--- a/tests/test_log_lines.py
+++ b/tests/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines never stop the process that writes them."""
+"""Writing of log lines never blocks the process."""
 
 import json
 import os
@@ -8,30 +8,32 @@
 from hyssopring.logs.line_writer import LineWriter
 
 
-def test_a_reader_that_stops_reading_loses_lines_and_blocks_nobody():
-    """A log collector stands still while the process goes on writing.
+def test_paused_reader_loses_lines_and_does_not_block_the_writer():
+    """A log collector pauses while the process continues to write.
 
-    The pipe takes 64 KB and the writer keeps 256 KB more; further lines are
-    counted, and those that were kept come in order when the reader is back.
+    The pipe holds 64 KB and the writer buffers 256 KB; further lines are dropped
+    and counted. The buffered lines arrive in order when the reader continues.
     """
     reader, writer_end = os.pipe()
     writer = LineWriter(writer_end)
     for number in range(2000):
         writer.write(f'{number:04} ' + 'x' * 495)
     assert writer.dropped > 1000
-    text = b''
+    received = b''
     while True:
         try:
             os.set_blocking(reader, False)
-            text += os.read(reader, 1 << 20)
+            received += os.read(reader, 1 << 20)
         except BlockingIOError:
             break
         writer.write('')
-    numbers = [int(line[:4]) for line in text.decode().split('x' * 495) if line]
+    numbers = [
+        int(line[:4]) for line in received.decode().split('x' * 495) if line
+    ]
     assert numbers == list(range(2000 - writer.dropped))
 
 
-def test_a_reader_that_is_gone_is_no_error():
+def test_closed_reader_is_not_an_error():
     reader, writer_end = os.pipe()
     writer = LineWriter(writer_end)
     os.close(reader)
@@ -39,7 +41,7 @@
     writer.write('another')
 
 
-def test_lines_of_the_platform_s_processes_are_json_objects():
+def test_json_lines_contain_event_level_and_fields():
     script = (
         'from hyssopring.logs import Event, configure_json_logging, log_event;'
         'configure_json_logging();'
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's adapter: names, settings and the translation of calls."""
+"""Adapter to the users' platform: wire names, settings, translated calls."""
 
 import json
 import pathlib
@@ -48,17 +48,17 @@
 )
 
 
-def test_only_the_platform_s_folder_knows_its_names():
-    leaks = [
+def test_wire_names_occur_in_the_platform_folder_only():
+    paths_with_wire_names = [
         str(path)
         for path in (ROOT / 'hyssopring').rglob('*.py')
         if 'platform' not in path.parts[-2:]
         and WIRE_NAMES.search(path.read_text())
     ]
-    assert not leaks
+    assert not paths_with_wire_names
 
 
-def node(tmp_path, **changes):
+def load_node(tmp_path, **changes):
     document = {
         'nodeName': 'edge-1',
         'ip': '127.0.0.1',
@@ -80,14 +80,14 @@
     return load_node_settings(str(path))
 
 
-def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
-    settings = node(tmp_path).unwrap()
+def test_settings_are_loaded_and_unknown_fields_ignored(tmp_path):
+    settings = load_node(tmp_path).unwrap()
     assert settings.inner_address == '127.0.0.1:7720'
     assert settings.seed_addresses == ('10.1.0.13:7720',)
 
 
 @pytest.mark.parametrize(
-    ('changes', 'words'),
+    ('changes', 'expected_text'),
     [
         ({'ip': None}, 'ip'),
         ({'internalPorts': 'many'}, 'internalPorts'),
@@ -95,20 +95,20 @@
         ({'commandMode': 'heartbeat'}, 'commandMode'),
     ],
 )
-def test_settings_that_cannot_be_used_are_one_clear_line(
-    tmp_path, changes, words
+def test_invalid_settings_are_reported_in_one_line_naming_the_field(
+    tmp_path, changes, expected_text
 ):
-    line = node(tmp_path, **changes).unwrap_err().detail
-    assert words in line and '\n' not in line
+    detail = load_node(tmp_path, **changes).unwrap_err().detail
+    assert expected_text in detail and '\n' not in detail
 
 
-def test_a_huge_settings_file_is_refused_by_its_size(tmp_path):
+def test_oversized_settings_file_is_rejected(tmp_path):
     path = tmp_path / 'node.json'
     path.write_bytes(b' ' * 2_000_000)
     assert 'at most' in load_node_settings(str(path)).unwrap_err().detail
 
 
-def test_a_submission_becomes_a_job_of_steps():
+def test_submission_is_parsed_into_a_job_with_steps():
     body = {
         'spec': 'text',
         'steps': [
@@ -149,12 +149,12 @@
         b'{"steps":[{"count":1,"after":[0]}]}',
     ],
 )
-def test_a_body_that_is_cut_short_or_impossible_is_refused(body):
+def test_truncated_or_invalid_submission_is_rejected(body):
     with pytest.raises(ValueError):  # noqa: PT011
         read_job('5c0e7a21d94b36f8', Queue('q', 's'), body)
 
 
-def test_the_longest_path_of_a_host_wins():
+def test_queue_with_the_longest_matching_path_prefix_is_found():
     route = {
         'name': 'a',
         'host': 'h.example',
@@ -171,26 +171,26 @@
     assert table.find('other.example', '/a/x') is None
 
 
-class Answers:
-    """Stands for the HTTP client: gives one answer, or fails."""
+class FakeJsonClient:
+    """Replaces ``JsonClient``: returns one response or fails."""
 
     def __init__(self, status=200, fields=None, error=None):
-        self.answer = JsonResponse(status, fields or {})
+        self.response = JsonResponse(status, fields or {})
         self.error = error
         self.calls = []
-        self.closings = 0
+        self.idle_closings = 0
 
     def close_idle(self):
-        self.closings += 1
+        self.idle_closings += 1
 
-    def call(self, *call, silence_ms=None):
-        self.calls.append(call)
-        answer = succeed(self.answer)
+    def call(self, *arguments, silence_ms=None):
+        self.calls.append(arguments)
+        response = succeed(self.response)
         if self.error:
-            answer.addCallback(self._fail)
-        return answer
+            response.addCallback(self._fail)
+        return response
 
-    def _fail(self, _answer):
+    def _fail(self, _response):
         raise self.error
 
 
@@ -200,31 +200,31 @@
     return outcomes[0]
 
 
-def store_with(answers):
+def store_with(client):
     store = PlatformStore(Clock(), '127.0.0.1:1', Metrics())
-    store._client = answers
+    store._client = client
     return store
 
 
-PLACE = RowKey('my', 'p7', 'owner')
+OWNER_KEY = RowKey('my', 'p7', 'owner')
 
 
 @pytest.mark.parametrize(
-    ('answers', 'error'),
+    ('client', 'error'),
     [
-        (Answers(503), StoreRefused),
-        (Answers(429), StoreRefused),
-        (Answers(500), StoreUncertain),
-        (Answers(error=TimeoutError()), StoreUncertain),
+        (FakeJsonClient(503), StoreRefused),
+        (FakeJsonClient(429), StoreRefused),
+        (FakeJsonClient(500), StoreUncertain),
+        (FakeJsonClient(error=TimeoutError()), StoreUncertain),
     ],
 )
-def test_a_commit_without_a_clear_answer_is_in_doubt_and_never_refused(
-    answers, error
+def test_commit_without_a_clear_response_is_unconfirmed_and_not_refused(
+    client, error
 ):
-    assert result_of(store_with(answers).commit(Transaction())).check(error)
+    assert result_of(store_with(client).commit(Transaction())).check(error)
 
 
-def test_a_conflict_names_the_rows_that_exist():
+def test_conflict_contains_the_rows_that_exist():
     row = {
         'table': 'my',
         'part': 'p7',
@@ -232,111 +232,115 @@
         'value': 'bm9kZS0x',
         'ver': 412,
     }
-    answers = Answers(412, {'rows': [row], 'ver': 412})
+    client = FakeJsonClient(412, {'rows': [row], 'ver': 412})
     conflict = result_of(
-        store_with(answers).commit(Transaction((RowCheck(PLACE, 0),)))
+        store_with(client).commit(Transaction((RowCheck(OWNER_KEY, 0),)))
     )
     assert isinstance(conflict, Conflict) and conflict.rows[0].text == 'node-1'
-    sent = answers.calls[0][2]
-    assert sent['precondition'] == [
+    sent_fields = client.calls[0][2]
+    assert sent_fields['precondition'] == [
         {'table': 'my', 'part': 'p7', 'key': 'owner', 'ver': 0}
     ]
 
 
-def worker_with(answers):
+def worker_with(client):
     worker = PlatformWorker(None, '127.0.0.1:1')
-    worker._client = answers
+    worker._client = client
     return worker
 
 
-START = StartRequest('i-1', 7, '5c0e7a21d94b36f8.0.1.17', 2, 'text', '', 486000)
+START_REQUEST = StartRequest(
+    'i-1', 7, '5c0e7a21d94b36f8.0.1.17', 2, 'text', '', 486000
+)
 
 
 @pytest.mark.parametrize(
-    ('answers', 'outcome'),
+    ('client', 'outcome'),
     [
-        (Answers(200, {'clockMs': 1}), StartOutcome.STARTED),
-        (Answers(409, {'reason': 'fence'}), StartOutcome.FENCED),
-        (Answers(409, {'reason': 'old'}), StartOutcome.OLD),
-        (Answers(409, {'reason': 'room'}), StartOutcome.NO_ROOM),
-        (Answers(409, {'reason': 'ticket'}), StartOutcome.BAD_TICKET),
-        (Answers(503), StartOutcome.UNHEALTHY),
+        (FakeJsonClient(200, {'clockMs': 1}), StartOutcome.STARTED),
+        (FakeJsonClient(409, {'reason': 'fence'}), StartOutcome.FENCED),
+        (FakeJsonClient(409, {'reason': 'old'}), StartOutcome.OLD),
+        (FakeJsonClient(409, {'reason': 'room'}), StartOutcome.NO_ROOM),
+        (FakeJsonClient(409, {'reason': 'ticket'}), StartOutcome.BAD_TICKET),
+        (FakeJsonClient(503), StartOutcome.UNHEALTHY),
     ],
 )
-def test_a_start_s_answer_is_translated(answers, outcome):
-    assert result_of(worker_with(answers).start(START)) is outcome
-    assert answers.calls[0][4] == (('Expected-Instance', 'i-1'),)
-    assert 'checkpoint' not in answers.calls[0][2]
-    assert 'ticket' not in answers.calls[0][2]
+def test_response_to_a_start_is_translated(client, outcome):
+    assert result_of(worker_with(client).start(START_REQUEST)) is outcome
+    assert client.calls[0][4] == (('Expected-Instance', 'i-1'),)
+    assert 'checkpoint' not in client.calls[0][2]
+    assert 'ticket' not in client.calls[0][2]
 
 
-def test_a_start_carries_its_ticket():
-    answers = Answers(200, {'clockMs': 1})
-    worker_with(answers).start(replace(START, ticket='c81e-7a21d94b'))
-    assert answers.calls[0][2]['ticket'] == 'c81e-7a21d94b'
+def test_start_request_contains_its_ticket():
+    client = FakeJsonClient(200, {'clockMs': 1})
+    worker_with(client).start(replace(START_REQUEST, ticket='c81e-7a21d94b'))
+    assert client.calls[0][2]['ticket'] == 'c81e-7a21d94b'
 
 
-QUESTION = AdviceQuery('5c0e7a21d94b36f8.0.1', ('i-1', 'i-2'), 250)
+QUERY = AdviceQuery('5c0e7a21d94b36f8.0.1', ('i-1', 'i-2'), 250)
 
 
-def advice_with(answers):
-    advice = PlatformAdvice(None, '127.0.0.1:1')
-    advice._client = answers
-    return advice
+def advice_with(client):
+    advice_client = PlatformAdvice(None, '127.0.0.1:1')
+    advice_client._client = client
+    return advice_client
 
 
-def test_a_question_and_its_answer_are_translated():
-    answers = Answers(200, {'approved': [['i-2', 'c8-7']], 'validMs': 3000})
-    advised = result_of(advice_with(answers).ask(QUESTION))
-    assert advised.ticket_by_boot == {'i-2': 'c8-7'}
-    assert advised.valid_ms == 3000
-    method, path, fields, limit_ms = answers.calls[0]
+def test_advice_query_and_answer_are_translated():
+    client = FakeJsonClient(
+        200, {'approved': [['i-2', 'c8-7']], 'validMs': 3000}
+    )
+    answer = result_of(advice_with(client).ask(QUERY))
+    assert answer.ticket_by_boot == {'i-2': 'c8-7'}
+    assert answer.valid_ms == 3000
+    method, path, fields, timeout_ms = client.calls[0]
     assert (method, path) == ('POST', '/-/advise')
-    assert fields == {'step': QUESTION.step, 'workers': ['i-1', 'i-2']}
-    assert limit_ms > 500
+    assert fields == {'step': QUERY.step, 'workers': ['i-1', 'i-2']}
+    assert timeout_ms > 500
 
 
-def test_nobody_approved_is_an_answer():
+def test_advice_without_approved_workers_is_a_valid_answer():
     for fields in ({'approved': []}, {'approved': [], 'validMs': 3000}):
-        advised = result_of(advice_with(Answers(200, fields)).ask(QUESTION))
-        assert advised.ticket_by_boot == {}
+        answer = result_of(advice_with(FakeJsonClient(200, fields)).ask(QUERY))
+        assert answer.ticket_by_boot == {}
 
 
 @pytest.mark.parametrize(
-    'answers',
+    'client',
     [
-        Answers(429),
-        Answers(503),
-        Answers(500),
-        Answers(200, {'approved': 'i-2'}),
-        Answers(200, {'approved': [['i-2']]}),
-        Answers(200, {'approved': None}),
-        Answers(200, {'approved': [], 'validMs': 'soon'}),
-        Answers(error=TimeoutError()),
+        FakeJsonClient(429),
+        FakeJsonClient(503),
+        FakeJsonClient(500),
+        FakeJsonClient(200, {'approved': 'i-2'}),
+        FakeJsonClient(200, {'approved': [['i-2']]}),
+        FakeJsonClient(200, {'approved': None}),
+        FakeJsonClient(200, {'approved': [], 'validMs': 'soon'}),
+        FakeJsonClient(error=TimeoutError()),
     ],
 )
-def test_what_is_no_answer_says_why(answers):
-    failure = result_of(advice_with(answers).ask(QUESTION))
+def test_invalid_advice_response_fails_with_a_reason(client):
+    failure = result_of(advice_with(client).ask(QUERY))
     assert failure.check(AdviceUnavailable) and str(failure.value)
 
 
-def test_without_an_address_each_question_fails():
-    asked = advice_client_for(None, '').ask(QUESTION)
-    assert result_of(asked).check(AdviceUnavailable)
+def test_advice_query_fails_without_an_address():
+    answer = advice_client_for(None, '').ask(QUERY)
+    assert result_of(answer).check(AdviceUnavailable)
 
 
-def test_a_queue_s_recommendation_is_its_advice():
+def test_recommendation_of_a_route_is_the_advice_timing_of_its_queue():
     route = {
         'name': 'a',
         'host': 'h.example',
         'pathPrefix': '/a/',
         'service': 's',
     }
-    asks = {'decisionMs': 120, 'perItemMs': 4.5, 'validMs': 3000}
+    recommendation = {'decisionMs': 120, 'perItemMs': 4.5, 'validMs': 3000}
     document = {
         'version': 3,
         'routes': [
-            {**route, 'recommendation': asks},
+            {**route, 'recommendation': recommendation},
             {**route, 'name': 'b', 'pathPrefix': '/b/'},
         ],
     }
@@ -346,39 +350,44 @@
     assert table.find('h.example', '/b/x').queue.advice is None
 
 
-def test_a_stored_job_keeps_its_queue_s_advice_and_older_rows_are_read():
-    plain = Queue('q', 's', 0, 1, 2, 100)
-    for queue in (plain, replace(plain, advice=AdviceTiming(120, 4.5, 3000))):
+def test_job_row_contains_the_advice_timing_only_if_the_queue_has_one():
+    plain_queue = Queue('q', 's', 0, 1, 2, 100)
+    for queue in (
+        plain_queue,
+        replace(plain_queue, advice=AdviceTiming(120, 4.5, 3000)),
+    ):
         row = JobRow(Job('1' * 16, queue, 'x', (Step(1, Size(1)),)), 5)
         assert JobRow.from_text(row.to_text()) == row
     assert (
         'advice'
         not in JobRow(
-            Job('1' * 16, plain, 'x', (Step(1, Size(1)),)), 5
+            Job('1' * 16, plain_queue, 'x', (Step(1, Size(1)),)), 5
         ).to_text()
     )
 
 
-def test_another_incarnation_is_told_from_silence():
-    assert result_of(worker_with(Answers(421)).start(START)).check(
-        WorkerReplaced
-    )
+def test_response_of_another_incarnation_raises_worker_replaced():
+    assert result_of(
+        worker_with(FakeJsonClient(421)).start(START_REQUEST)
+    ).check(WorkerReplaced)
 
 
-def test_a_listing_is_translated():
+def test_listing_is_translated():
     fields = {
         'clockMs': 482113,
         'running': [['5c0e7a21d94b36f8.0.1.17', 2, 'c', 41, 1000]],
         'finished': [[58, '5c0e7a21d94b36f8.0.1.9', 1, 'lapsed', '']],
     }
     listing = result_of(
-        worker_with(Answers(200, fields)).poll(type('PollRequest', (), LOOK))
+        worker_with(FakeJsonClient(200, fields)).poll(
+            type('PollRequest', (), POLL_REQUEST)
+        )
     )
     assert listing.rows[0].percent == 41 and listing.rows[0].load == 1000
     assert listing.ends[0].how is AttemptEnd.LOST
 
 
-LOOK = {
+POLL_REQUEST = {
     'boot': 'i-1',
     'fence': 1,
     'acked_through': 0,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: one clear line for each thing that can be wrong."""
+"""Settings files: each error is reported in one line."""
 
 import json
 import pathlib
@@ -21,7 +21,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 EXAMPLES = ROOT / 'examples'
 ENTRY = json5.loads((EXAMPLES / 'nyabugogo/entries/entry-1.json').read_text())
-CASES = [
+INVALID_CHANGES = [
     ({'colour': 1}, ['colour', 'unknown key', 'shard_lease_ms']),
     ({'shard_lease_ms': '6s'}, ['shard_lease_ms', 'valid number', '"6s"']),
     (
@@ -40,45 +40,45 @@
 ]
 
 
-def problem(tmp_path, text, model=EntrySettings):
+def load_error(tmp_path, text, model=EntrySettings):
     path = tmp_path / 'entry.json'
     path.write_text(text)
-    line = load_settings(str(path), model).unwrap_err().detail
-    assert line.startswith(str(path))
-    assert '\n' not in line
-    return line
+    detail = load_settings(str(path), model).unwrap_err().detail
+    assert detail.startswith(str(path))
+    assert '\n' not in detail
+    return detail
 
 
-@pytest.mark.parametrize(('change', 'words'), CASES)
-def test_wrong_value_is_one_line_naming_key_found_and_allowed(
+@pytest.mark.parametrize(('change', 'words'), INVALID_CHANGES)
+def test_invalid_value_is_reported_with_key_value_and_allowed_values(
     tmp_path, change, words
 ):
-    line = problem(tmp_path, json.dumps({**ENTRY, **change}))
+    line = load_error(tmp_path, json.dumps({**ENTRY, **change}))
     assert all(word in line for word in words), line
     assert 'sesame' not in line
 
 
-def test_missing_key_missing_file_and_broken_json_are_one_line(tmp_path):
-    without = {key: ENTRY[key] for key in ENTRY if key != 'zone'}
-    assert 'zone: required' in problem(tmp_path, json.dumps(without))
-    assert 'not JSON' in problem(tmp_path, '{"id": \n')
-    assert 'not JSON' in problem(tmp_path, '{"id": "a", "id": "b"}')
-    assert 'document' in problem(tmp_path, '[1]')
+def test_missing_key_missing_file_and_malformed_json_are_reported(tmp_path):
+    without_zone = {key: ENTRY[key] for key in ENTRY if key != 'zone'}
+    assert 'zone: required' in load_error(tmp_path, json.dumps(without_zone))
+    assert 'not JSON' in load_error(tmp_path, '{"id": \n')
+    assert 'not JSON' in load_error(tmp_path, '{"id": "a", "id": "b"}')
+    assert 'document' in load_error(tmp_path, '[1]')
     missing = load_settings('nowhere.json', EntrySettings).unwrap_err().detail
     assert missing == 'nowhere.json: cannot be read: No such file or directory'
 
 
-def test_key_inside_an_object_is_named_with_its_neighbours(tmp_path):
+def test_unknown_nested_key_is_reported_with_the_allowed_keys(tmp_path):
     agent = json5.loads(
         (EXAMPLES / 'nyabugogo/agents/agent-01.json').read_text()
     )
     agent['capacity']['memory_mb'] = 60_000
-    line = problem(tmp_path, json.dumps(agent), AgentSettings)
+    line = load_error(tmp_path, json.dumps(agent), AgentSettings)
     assert 'capacity.memory_mb' in line and 'memory_gb' in line
 
 
 @pytest.mark.parametrize('deployment', ['nyabugogo', 'hemeroteca'])
-def test_examples_load_with_the_sizes_of_today(deployment):
+def test_examples_are_valid_and_have_the_expected_sizes(deployment):
     agents = [
         load_settings(str(path), AgentSettings).unwrap()
         for path in sorted((EXAMPLES / deployment / 'agents').iterdir())
@@ -90,7 +90,7 @@
         load_settings(str(path), EntrySettings).unwrap()
         for path in sorted((EXAMPLES / deployment / 'entries').iterdir())
     ]
-    assert {agent.zone for agent in agents} == {e.zone for e in entries}
+    assert {agent.zone for agent in agents} == {entry.zone for entry in entries}
     documents = EXAMPLES / deployment / 'configuration'
     for path in documents.rglob('*.json'):
         kind = path.relative_to(documents).parts[0]
@@ -98,7 +98,7 @@
         MODEL_BY_KIND[kind].model_validate_json(json.dumps(document))
 
 
-def test_role_is_told_by_the_files_own_keys():
+def test_role_is_determined_by_the_keys_of_the_file():
     assert role_of(ENTRY) is EntrySettings
     assert role_of({'rack': 'a', 'worker_url': 'b'}) is AgentSettings
     assert role_of({'entry': 'a', 'token': 'b'}) is OperatorSettings
@@ -120,6 +120,8 @@
         ('team/t', '{"cores": 1', 'document: Invalid JSON'),
     ],
 )
-def test_wrong_document_is_one_line_that_names_the_key(key, document, words):
+def test_invalid_document_is_reported_in_one_line_with_the_key(
+    key, document, words
+):
     line = document_failure(key, document).detail
     assert words in line and '\n' not in line
