--- a/tests/test_border_incarnations.py
+++ b/tests/test_border_incarnations.py
@@ -2,7 +2,12 @@
 
 import pytest
 from test_border_runner import GOOD
-from test_platform import LOOK, Answers, result_of, worker_with
+from test_platform import (
+    POLL_REQUEST,
+    FakeJsonClient,
+    result_of,
+    worker_with,
+)
 
 from hyssopring.jobs.advice_client import AdviceQuery
 from hyssopring.logs import Event, _emit, listen_to_events
@@ -29,8 +34,8 @@
 
 
 def poll(worker, **fields):
-    worker._client = Answers(200, {'clockMs': 1, **fields})
-    return result_of(worker.poll(type('PollRequest', (), LOOK)))
+    worker._client = FakeJsonClient(200, {'clockMs': 1, **fields})
+    return result_of(worker.poll(type('PollRequest', (), POLL_REQUEST)))
 
 
 def test_restart_under_the_same_id_is_logged_once(restarts):
@@ -125,36 +130,38 @@
     ],
 )
 def test_listing_names_the_incarnation_that_responded(requested, born, boot):
-    worker = worker_with(Answers(200, {'clockMs': 1, 'born': born}))
+    worker = worker_with(FakeJsonClient(200, {'clockMs': 1, 'born': born}))
     listing = result_of(
-        worker.poll(type('PollRequest', (), {**LOOK, 'boot': requested}))
+        worker.poll(
+            type('PollRequest', (), {**POLL_REQUEST, 'boot': requested})
+        )
     )
     assert listing.boot == boot
 
 
 def test_calls_to_a_worker_carry_only_its_id():
-    answers = Answers(200, {'clockMs': 1})
-    worker_with(answers).stop(f'i-1#{BORN}', 1, 'a', 1)
-    assert answers.calls[0][-1] == (('Expected-Instance', 'i-1'),)
+    client = FakeJsonClient(200, {'clockMs': 1})
+    worker_with(client).stop(f'i-1#{BORN}', 1, 'a', 1)
+    assert client.calls[0][-1] == (('Expected-Instance', 'i-1'),)
 
 
 def test_advice_is_requested_by_id_and_applies_to_the_incarnation():
     boots = (f'i-1#{BORN}', 'i-2')
-    answers = Answers(200, {'approved': [['i-1', 't'], ['i-2', 'u']]})
+    client = FakeJsonClient(200, {'approved': [['i-1', 't'], ['i-2', 'u']]})
     advice = PlatformAdvice(None, '127.0.0.1:1')
-    advice._client = answers
+    advice._client = client
     advised = result_of(advice.ask(AdviceQuery('step', boots, 100)))
-    assert answers.calls[0][2]['workers'] == ['i-1', 'i-2']
+    assert client.calls[0][2]['workers'] == ['i-1', 'i-2']
     assert advised.ticket_by_boot == {boots[0]: 't', 'i-2': 'u'}
 
 
 def test_new_incarnation_is_called_on_a_new_connection():
     """Guards against connections to the former one that never respond."""
-    answers = Answers(200, {'clockMs': 1})
-    worker = worker_with(answers)
+    client = FakeJsonClient(200, {'clockMs': 1})
+    worker = worker_with(client)
     for boot in (f'i-1#{BORN}', f'i-1#{BORN}', f'i-1#{BORN + 1}'):
-        worker.poll(type('PollRequest', (), {**LOOK, 'boot': boot}))
-    assert answers.closings == 2
+        worker.poll(type('PollRequest', (), {**POLL_REQUEST, 'boot': boot}))
+    assert client.idle_closings == 2
 
 
 @pytest.mark.parametrize('verb', ['heartbeat', 'deregister'])
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -6,7 +6,12 @@
 
 import pytest
 from border_support import mutated
-from test_platform import LOOK, Answers, result_of, worker_with
+from test_platform import (
+    POLL_REQUEST,
+    FakeJsonClient,
+    result_of,
+    worker_with,
+)
 from twisted.internet.address import IPv4Address
 from twisted.web.test.requesthelper import DummyRequest
 
@@ -127,8 +132,8 @@
 
 
 def poll(worker, **fields):
-    worker._client = Answers(200, {'clockMs': 1, **fields})
-    return result_of(worker.poll(type('PollRequest', (), LOOK)))
+    worker._client = FakeJsonClient(200, {'clockMs': 1, **fields})
+    return result_of(worker.poll(type('PollRequest', (), POLL_REQUEST)))
 
 
 @pytest.mark.parametrize('how', ['odd', '', None, 7, [], {}])
@@ -207,8 +212,8 @@
         fields = mutated(rng, good)
         if not isinstance(fields, dict):
             continue
-        worker._client = Answers(200, fields)
-        listing = result_of(worker.poll(type('PollRequest', (), LOOK)))
+        worker._client = FakeJsonClient(200, fields)
+        listing = result_of(worker.poll(type('PollRequest', (), POLL_REQUEST)))
         assert isinstance(listing, Listing) or listing.check(WorkerUnreachable)
 
 
--- a/tests/test_border_store.py
+++ b/tests/test_border_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 from border_support import PreparedStore, mutated
-from test_platform import Answers, result_of, store_with
+from test_platform import FakeJsonClient, result_of, store_with
 from twisted.internet.defer import fail, succeed
 from twisted.internet.task import Clock as Reactor
 
@@ -41,7 +41,7 @@
     For example, a shard's next owner must wait for each agent with a row.
     """
     rows = [wire_row('a', value=value), wire_row('b')]
-    responses = Answers(200, {'ver': 9, 'rows': rows})
+    responses = FakeJsonClient(200, {'ver': 9, 'rows': rows})
     page = result_of(store_with(responses).read('t', 'p'))
     assert [row.row_key.key for row in page.rows] == ['a', 'b']
     assert [row.text for row in page.rows] == ['', 'text']
@@ -50,7 +50,9 @@
 
 @pytest.mark.parametrize('ver', ['x', None, [], -3, 1.5, True])
 def test_malformed_version_is_read_as_zero(ver):
-    responses = Answers(200, {'ver': 9, 'rows': [wire_row('a', ver=ver)]})
+    responses = FakeJsonClient(
+        200, {'ver': 9, 'rows': [wire_row('a', ver=ver)]}
+    )
     page = result_of(store_with(responses).read('t', 'p'))
     assert page.rows[0].version == 0
 
@@ -60,7 +62,7 @@
     [None, 7, 'row', [], {}, {'key': 'k'}, wire_row(7), wire_row(part=[])],
 )
 def test_row_without_a_valid_key_is_skipped(row, errors):
-    responses = Answers(200, {'ver': 9, 'rows': [row, wire_row('b')]})
+    responses = FakeJsonClient(200, {'ver': 9, 'rows': [row, wire_row('b')]})
     page = result_of(store_with(responses).read('t', 'p'))
     assert [row_read.row_key.key for row_read in page.rows] == ['b']
     changes = result_of(store_with(responses).changes('t', 1, 0))
@@ -81,27 +83,27 @@
 
 @pytest.mark.parametrize('fields', MALFORMED_FIELDS)
 def test_read_with_a_malformed_response_fails(fields):
-    store = store_with(Answers(200, fields))
+    store = store_with(FakeJsonClient(200, fields))
     assert result_of(store.read('t', 'p')).check(StoreRefused)
     assert result_of(store.read_one(RowKey('t', 'p', 'k'))).check(StoreRefused)
 
 
 @pytest.mark.parametrize('fields', MALFORMED_FIELDS[:-1])
 def test_changes_with_a_malformed_response_fail(fields):
-    store = store_with(Answers(200, fields))
+    store = store_with(FakeJsonClient(200, fields))
     assert result_of(store.changes('t', 1, 0)).check(StoreRefused)
 
 
 @pytest.mark.parametrize('fields', MALFORMED_FIELDS[:4])
 def test_commit_without_a_version_in_the_response_is_uncertain(fields):
-    store = store_with(Answers(200, fields))
+    store = store_with(FakeJsonClient(200, fields))
     assert result_of(store.commit(Transaction())).check(StoreUncertain)
 
 
 def test_conflict_with_malformed_rows_is_refused():
     """Read as an empty list, it would show that the shard has another owner."""
     checked = Transaction((RowCheck(RowKey('t', 'p', 'k'), 4),))
-    store = store_with(Answers(412, {'rows': 7}))
+    store = store_with(FakeJsonClient(412, {'rows': 7}))
     assert result_of(store.commit(checked)).check(StoreRefused)
 
 
@@ -169,7 +171,7 @@
         fields = mutated(rng, good)
         if not isinstance(fields, dict):
             continue
-        store = store_with(Answers(200, fields))
+        store = store_with(FakeJsonClient(200, fields))
         page = result_of(store.read('t', 'p'))
         assert isinstance(page, Page) or page.check(StoreRefused)
         changes = result_of(store.changes('t', 1, 0))
