--- a/hyssopring/platform/settings.py
+++ b/hyssopring/platform/settings.py
@@ -38,7 +38,7 @@
     )
 
 
-class Listening(_Model):
+class BindAddresses(_Model):
     """Addresses to listen on, by the kind of client."""
 
     frontend: str = ''
@@ -72,7 +72,7 @@
     node_name: str
     ip: str
     zone: str
-    bind_addresses: Listening
+    bind_addresses: BindAddresses
     internal_ports: tuple[int, int]
     seeds: tuple[str, ...] = ()
     platform: StoreSettings
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -49,13 +49,13 @@
     return detail
 
 
-@pytest.mark.parametrize(('change', 'words'), INVALID_CHANGES)
+@pytest.mark.parametrize(('change', 'expected_texts'), INVALID_CHANGES)
 def test_invalid_value_is_reported_with_key_value_and_allowed_values(
-    tmp_path, change, words
+    tmp_path, change, expected_texts
 ):
-    line = load_error(tmp_path, json.dumps({**ENTRY, **change}))
-    assert all(word in line for word in words), line
-    assert 'sesame' not in line
+    detail = load_error(tmp_path, json.dumps({**ENTRY, **change}))
+    assert all(expected in detail for expected in expected_texts), detail
+    assert 'sesame' not in detail
 
 
 def test_missing_key_missing_file_and_malformed_json_are_reported(tmp_path):
@@ -73,8 +73,8 @@
         (EXAMPLES / 'nyabugogo/agents/agent-01.json').read_text()
     )
     agent['capacity']['memory_mb'] = 60_000
-    line = load_error(tmp_path, json.dumps(agent), AgentSettings)
-    assert 'capacity.memory_mb' in line and 'memory_gb' in line
+    detail = load_error(tmp_path, json.dumps(agent), AgentSettings)
+    assert 'capacity.memory_mb' in detail and 'memory_gb' in detail
 
 
 @pytest.mark.parametrize('deployment', ['nyabugogo', 'hemeroteca'])
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ('key', 'document', 'words'),
+    ('key', 'document', 'expected_text'),
     [
         ('template/a', '{"kind": "batch", "sise": 1}', 'size: required'),
         ('parameters/t/a', '{"size": {"cores": 1, "gb": 2}}', 'memory_gb'),
@@ -121,7 +121,7 @@
     ],
 )
 def test_invalid_document_is_reported_in_one_line_with_the_key(
-    key, document, words
+    key, document, expected_text
 ):
-    line = document_failure(key, document).detail
-    assert words in line and '\n' not in line
+    detail = document_failure(key, document).detail
+    assert expected_text in detail and '\n' not in detail
