--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -65,7 +65,7 @@
 def test_garbage_is_collected_once_a_role_has_started():
     gc.disable()
     try:
-        roles._collect_from_now_on()
+        roles._enable_garbage_collector()
         assert gc.isenabled()
         assert gc.get_freeze_count()
     finally:
