--- a/soak/actors.py
+++ b/soak/actors.py
@@ -126,12 +126,12 @@
     def end_all(self):
         """The VM is gone, and all that it ran."""
         for task_id in self.task_by_id:
-            self._note('vm-gone', task_id)
+            self._log('vm-gone', task_id)
         self.task_by_id.clear()
 
-    def _note(self, what, task_id):
-        self.history.append((self.now(), what, task_id))
-        self.world.promises.note(f'{what} {task_id} on {self.name}')
+    def _log(self, event, task_id):
+        self.history.append((self.now(), event, task_id))
+        self.world.promises.note(f'{event} {task_id} on {self.name}')
 
 
 def classify(transaction, row):
--- a/soak/platform/world.py
+++ b/soak/platform/world.py
@@ -31,7 +31,7 @@
 from standins.jobs.book import Book
 from standins.jobs.worker import SimWorker
 from standins.narrow_link import NarrowLink, a_configuration
-from standins.platform import RunnerResource, StoreResource, beat
+from standins.platform import RunnerResource, StoreResource, send_heartbeats
 from standins.programs import free_ports, settings_file
 
 # Each port is drawn once, before any is listened on: none is taken twice.
@@ -215,7 +215,7 @@
         worker = self.workers[name]
         if not self.programs[name].is_wanted and not worker.is_gone:
             self.programs[name].is_wanted = True
-            beat(Agent(reactor), worker, worker.control)
+            send_heartbeats(Agent(reactor), worker, worker.control)
 
     def leave(self, name, notice):
         """A runner says that it leaves; later it is gone with its agent."""
@@ -274,7 +274,7 @@
 
     def tick(self):
         """Look after processes, runners and the link; call often."""
-        self.link.turn()
+        self.link.tick()
         for worker in self.workers.values():
             worker.settle()
         for program in self.programs.values():
--- a/soak/world.py
+++ b/soak/world.py
@@ -138,7 +138,7 @@
             commit(transaction, finish)
             self.moment(area, entry)
 
-        def loses(transaction):
+        def is_response_lost(transaction):
             area = classify(transaction, self.deployment.table.row)
             is_lost = entry.lose_moment in {area, 'any'}
             if is_lost:
@@ -147,7 +147,7 @@
             return is_lost
 
         store.commit = observed
-        store.loses = loses
+        store.is_response_lost = is_response_lost
 
     def watch_agent(self, agent):
         """Observe an agent that has just been made, with a new worker."""
@@ -203,7 +203,7 @@
         if is_again:
             self.moment('resubmitted', self._runner_of(key) or entry)
         self.promises.note(f'submit {body!r} at {entry.name}')
-        entry.take(
+        entry.deliver(
             self._submit,
             entry,
             request_id,
@@ -240,7 +240,7 @@
             if answer.is_ok():
                 self.jobs[job_id][2] = True
 
-        entry.take(entry.jobs.submit, submission, done)
+        entry.deliver(entry.jobs.submit, submission, done)
 
     def cancel(self, entry, job_id):
         """Cancel a batch job."""
@@ -252,7 +252,7 @@
                 self.cancelled.add(job_id)
 
         self.promises.note(f'cancel {job_id} at {entry.name}')
-        entry.take(entry.jobs.cancel, job_id, done)
+        entry.deliver(entry.jobs.cancel, job_id, done)
 
     def change(self, entry, key, expected, document):
         """Change the configuration, as an operator."""
@@ -265,7 +265,7 @@
 
         change = ConfigurationChange(key, expected, document)
         keeper = entry.core.configuration_keeper
-        entry.take(keeper.change, change, done)
+        entry.deliver(keeper.change, change, done)
 
     def version_of(self, entry, key):
         """What an operator sees of an item at an entry."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,8 +1,11 @@
-"""Stand-in for a backend server: serves after a delay, announces itself.
+"""A stand-in for a backend server that announces itself to an agent.
+
+It responds to each request after a random or requested delay.
 
 Run: ``python -m standins.backend HOST:PORT AGENT SERVICE [MEAN_MS]``.
-A request may ask for ``?ms=N``; ``/cut`` breaks off in the middle of its
-answer. SIGTERM announces that it is leaving, then ends.
+``?ms=N`` in a request sets its delay; ``/cut`` closes the connection in the
+middle of the response. On SIGTERM the backend announces that it is leaving
+and exits after a grace period.
 """
 
 import json
@@ -18,11 +21,14 @@
 from twisted.web.server import NOT_DONE_YET, Site
 from zope.interface import implementer
 
-_ANNOUNCE_S = 0.5
+_ANNOUNCE_INTERVAL_S = 0.5
+_SHUTDOWN_GRACE_S = 3.0
 
 
 @implementer(IBodyProducer)
 class Bytes:
+    """The body of a request, written at once."""
+
     def __init__(self, body):
         self.body = body
         self.length = len(body)
@@ -39,6 +45,12 @@
 
 
 class BackendResource(Resource):
+    """Echoes each request after its delay.
+
+    Attributes:
+        served: Number of requests received.
+    """
+
     isLeaf = True
 
     def __init__(self, reactor, name, mean_ms, seed=1):
@@ -51,23 +63,25 @@
         self.request_ids = []
 
     def render(self, request):
-        asked = request.args.get(b'ms')
-        millis = (
-            float(asked[0])
-            if asked
+        requested_ms = request.args.get(b'ms')
+        delay_ms = (
+            float(requested_ms[0])
+            if requested_ms
             else self.rng.lognormvariate(0, 0.5) * self.mean_ms
         )
         body = request.content.read()
         self.served += 1
-        gone = []
-        request.notifyFinish().addErrback(gone.append)
-        self.reactor.callLater(millis / 1000, self._finish, request, body, gone)
+        disconnects = []
+        request.notifyFinish().addErrback(disconnects.append)
+        self.reactor.callLater(
+            delay_ms / 1000, self._finish, request, body, disconnects
+        )
         return NOT_DONE_YET
 
-    def _finish(self, request, body, gone):
-        if gone:
+    def _finish(self, request, body, disconnects):
+        if disconnects:
             return
-        answer = json.dumps(
+        response = json.dumps(
             {
                 'backend': self.name,
                 'path': request.uri.decode(),
@@ -76,24 +90,27 @@
             }
         ).encode()
         request.setHeader('content-type', 'application/json')
-        request.setHeader('content-length', str(len(answer)))
+        request.setHeader('content-length', str(len(response)))
         if request.path.endswith(b'/cut'):
-            request.write(answer[:10])
+            request.write(response[:10])
             request.transport.loseConnection()
             return
-        request.write(answer)
+        request.write(response)
         request.finish()
 
 
 class Announcer:
+    """Posts a backend's announcement to its agent."""
+
     def __init__(self, reactor, agent_address, announcement):
-        # One kept connection: a new one for each announcement costs the
-        # agent more (docs/CAPACITY.md, at rest).
+        # A persistent connection: a new one for each announcement costs an
+        # idle agent more processor time (docs/CAPACITY.md).
         self.agent = Agent(reactor, pool=HTTPConnectionPool(reactor))
         self.url = f'http://{agent_address}/announce'.encode()
         self.announcement = announcement
 
     def announce(self):
+        """Post the announcement; errors are ignored."""
         body = json.dumps(self.announcement).encode()
         deferred = self.agent.request(b'POST', self.url, None, Bytes(body))
         deferred.addCallback(readBody)
@@ -102,6 +119,7 @@
 
 
 def announcement(name, service, address, slots=8, connections=64):
+    """Return the fields of an announcement."""
     return {
         'id': name,
         'service': service,
@@ -116,18 +134,20 @@
     from twisted.internet import reactor
 
     address, agent, service = sys.argv[1:4]
-    mean = float(sys.argv[4]) if len(sys.argv) > 4 else 20.0
+    mean_ms = float(sys.argv[4]) if len(sys.argv) > 4 else 20.0
     host, port = address.rsplit(':', 1)
     name = f'backend-{port}'
-    resource = BackendResource(reactor, name, mean, int(port))
+    resource = BackendResource(reactor, name, mean_ms, int(port))
     reactor.listenTCP(int(port), Site(resource), interface=host)
     announcer = Announcer(reactor, agent, announcement(name, service, address))
-    LoopingCall(announcer.announce).start(_ANNOUNCE_S)
+    LoopingCall(announcer.announce).start(_ANNOUNCE_INTERVAL_S)
 
-    def leave():
+    def shut_down():
         announcer.announcement['leaving'] = True
         announcer.announce()
-        reactor.callLater(3.0, reactor.stop)
+        reactor.callLater(_SHUTDOWN_GRACE_S, reactor.stop)
 
-    signal.signal(signal.SIGTERM, lambda *_args: reactor.callFromThread(leave))
+    signal.signal(
+        signal.SIGTERM, lambda *_args: reactor.callFromThread(shut_down)
+    )
     reactor.run(installSignalHandlers=False)
--- a/standins/configuration_site.py
+++ b/standins/configuration_site.py
@@ -1,4 +1,4 @@
-"""Entries on wide and narrow links that follow one configuration."""
+"""Entries that follow one configuration over fast and slow links."""
 
 from functools import partial
 
@@ -11,18 +11,22 @@
 from hyssopring.platform.configuration import ConfigurationFollower
 from hyssopring.platform.store import PlatformStore
 from standins.narrow_link import (
-    TURN_S,
+    TICK_INTERVAL_S,
     ConfigurationRow,
     NarrowLink,
     StoreOverLink,
 )
 
-WIDE_BYTES_PER_S = 14_000_000
-RTT_S = 0.001
+FAST_BYTES_PER_S = 14_000_000
+ROUND_TRIP_S = 0.001
 
 
 class FollowingEntry:
-    """An entry's part in the configuration, with its link."""
+    """An entry's configuration follower and its link.
+
+    Attributes:
+        in_force_at: Times in s at which versions came into force, by version.
+    """
 
     def __init__(self, site, name, bytes_per_s):
         self.name = name
@@ -31,12 +35,12 @@
         self._site = site
         agent = StoreOverLink(site.reactor, site.row, self.link, name)
         site.patch.setattr(
-            json_calls, 'pooled_agent', lambda *_how, **_named: agent
+            json_calls, 'pooled_agent', lambda *_args, **_kwargs: agent
         )
         store = PlatformStore(site.reactor, 'store:1', Metrics())
         self.shared = SharedConfiguration(site.reactor, self)
         self.follower = ConfigurationFollower(
-            site.reactor, store, self._configured
+            site.reactor, store, self._on_configured
         )
         self.shared.on_stored = self.follower.take_from_peer
 
@@ -47,13 +51,13 @@
 
     def to_entry(self, entry_id, message):
         """See ``PeerTransport``."""
-        return self._site.carry(self.name, entry_id, message)
+        return self._site.deliver(self.name, entry_id, message)
 
     def answer(self, peer_id, message):
         """See ``PeerTransport``."""
-        return self._site.carry(self.name, peer_id, message)
+        return self._site.deliver(self.name, peer_id, message)
 
-    def _configured(self, table, stored):
+    def _on_configured(self, table, stored):
         self.in_force_at[table.version] = self._site.reactor.seconds()
         self.shared.applied(table.version, stored)
 
@@ -62,7 +66,7 @@
     """All entries of one deployment under one virtual clock.
 
     Attributes:
-        dead: Names of entries to and from which nothing is carried.
+        dead: Names of the entries that neither send nor receive.
     """
 
     def __init__(self, patch, wide, narrow, bytes_per_s):
@@ -70,7 +74,7 @@
         self.reactor = Reactor()
         self.row = ConfigurationRow(self.reactor)
         self.dead = set()
-        rates = {f'wide-{number}': WIDE_BYTES_PER_S for number in range(wide)}
+        rates = {f'wide-{number}': FAST_BYTES_PER_S for number in range(wide)}
         rates |= {f'narrow-{number}': bytes_per_s for number in range(narrow)}
         self.by_name = {
             name: FollowingEntry(self, name, rate)
@@ -79,34 +83,41 @@
         for entry in self.by_name.values():
             entry.follower.start()
 
-    def carry(self, sender, receiver, message):
-        """Carry a message over the receiver's link, in order."""
+    def deliver(self, sender, receiver, message):
+        """Send a message over the receiver's link, in order.
+
+        Returns:
+            False if one of the two entries is dead.
+        """
         if sender in self.dead or receiver in self.dead:
             return False
         payload = pack(message)
         entry = self.by_name[receiver]
         self.reactor.callLater(
-            RTT_S / 2,
+            ROUND_TRIP_S / 2,
             entry.link.send,
             sender,
             len(payload),
-            partial(self._take, sender, entry, payload),
+            partial(self._receive, sender, entry, payload),
         )
         return True
 
-    def _take(self, sender, entry, payload):
+    def _receive(self, sender, entry, payload):
         if sender not in self.dead and entry.name not in self.dead:
             entry.shared.handle_message(unpack(payload), sender)
 
-    def run_until(self, second):
-        """Let time pass up to this second of the day."""
-        while self.reactor.seconds() < second:
-            self.reactor.advance(TURN_S)
+    def run_until(self, until_s):
+        """Advance the virtual clock to a time in s."""
+        while self.reactor.seconds() < until_s:
+            self.reactor.advance(TICK_INTERVAL_S)
             for entry in self.by_name.values():
-                entry.link.turn()
+                entry.link.tick()
 
     def delays(self, version):
-        """Seconds from a version's commit until it is in force, by entry."""
+        """Return s from a version's commit until it is in force, by entry.
+
+        An entry without the version has an infinite delay.
+        """
         committed_at = self.row.committed_at[version]
         return {
             name: entry.in_force_at.get(version, float('inf')) - committed_at
--- a/standins/narrow_link.py
+++ b/standins/narrow_link.py
@@ -1,7 +1,7 @@
-"""Entries that follow the configuration over links of few bytes a second.
+"""Links of low bandwidth, and a store whose responses come over them.
 
-The store's HTTP answers and the peers' messages to one entry share its link,
-as they do on a VM whose network is the scarce thing. All in virtual time.
+The store's HTTP responses and the peers' messages to an entry share its link,
+as on a VM whose network is the bottleneck. All times are virtual.
 """
 
 import base64
@@ -17,67 +17,76 @@
 from twisted.python.failure import Failure
 from twisted.web.client import ResponseDone
 
-TURN_S = 0.01
-# What one connection puts on the link at a time.
+TICK_INTERVAL_S = 0.01
 PACKET_BYTES = 16 * 1024
 
 
 class NarrowLink:
-    """Carries what comes to one VM; connections share it evenly."""
+    """The inbound link of a VM; connections share its bandwidth evenly.
+
+    Attributes:
+        carried: Bytes that have arrived.
+    """
 
     def __init__(self, reactor, bytes_per_s):
         self._reactor = reactor
         self._bytes_per_s = bytes_per_s
-        self._turned_at = reactor.seconds()
-        self._waiting_by_connection = {}
+        self._ticked_at = reactor.seconds()
+        self._packets_by_connection = {}
         self.carried = 0
 
-    def send(self, connection, size, arrived):
-        """Call ``arrived`` once so many bytes have come after the others."""
-        waiting = self._waiting_by_connection.setdefault(connection, deque())
-        waiting.append([size, arrived])
+    def send(self, connection, size, on_arrival):
+        """Queue ``size`` bytes; ``on_arrival`` is called once they arrived."""
+        packets = self._packets_by_connection.setdefault(connection, deque())
+        packets.append([size, on_arrival])
 
     def drop(self, connection):
-        """Nothing more of this connection arrives."""
-        self._waiting_by_connection.pop(connection, None)
+        """Discard the queued packets of a connection."""
+        self._packets_by_connection.pop(connection, None)
 
     def waiting_s(self):
-        """Return how long what waits now will take."""
-        waiting = self._waiting_by_connection.values()
-        left = sum(size for each in waiting for size, _arrived in each)
-        return left / self._bytes_per_s
-
-    def turn(self):
-        """Carry what there was room for since the last turn; call often."""
-        now = self._reactor.seconds()
-        left = (now - self._turned_at) * self._bytes_per_s
-        self._turned_at = now
-        while left >= 1 and any(self._waiting_by_connection.values()):
-            busy = [
+        """Return the s that the queued packets take to arrive."""
+        queues = self._packets_by_connection.values()
+        size = sum(size for queue in queues for size, _on_arrival in queue)
+        return size / self._bytes_per_s
+
+    def tick(self):
+        """Deliver the bytes that the time since the last tick allows."""
+        now_s = self._reactor.seconds()
+        left = (now_s - self._ticked_at) * self._bytes_per_s
+        self._ticked_at = now_s
+        while left >= 1 and any(self._packets_by_connection.values()):
+            senders = [
                 connection
-                for connection, waiting in self._waiting_by_connection.items()
-                if waiting
+                for connection, packets in self._packets_by_connection.items()
+                if packets
             ]
-            share = left / len(busy)
-            for connection in busy:
-                left -= self._carry(connection, share)
+            share = left / len(senders)
+            for connection in senders:
+                left -= self._deliver(connection, share)
 
-    def _carry(self, connection, share):
-        waiting = self._waiting_by_connection.get(connection)
-        if not waiting:
+    def _deliver(self, connection, share):
+        packets = self._packets_by_connection.get(connection)
+        if not packets:
             return 0
-        size, arrived = waiting[0]
+        size, on_arrival = packets[0]
         moved = min(share, size)
         self.carried += moved
-        waiting[0][0] = size - moved
-        if waiting[0][0] < 1:
-            waiting.popleft()
-            arrived()
+        packets[0][0] = size - moved
+        if packets[0][0] < 1:
+            packets.popleft()
+            on_arrival()
         return moved
 
 
 class ConfigurationRow:
-    """The store's row of the configuration, with its history."""
+    """The store's row of the configuration, with its history.
+
+    Attributes:
+        changes: Versions of the row with their texts.
+        is_silent_for: Names of entries whose requests get no response.
+        committed_at: Times in s of commits, by version.
+    """
 
     def __init__(self, reactor):
         self._reactor = reactor
@@ -93,12 +102,12 @@
         self.changes.append((self.version + 1, text))
         self.committed_at[version] = self._reactor.seconds()
 
-    def answer(self, path, after):
-        """The body for a reading; None for a feed with nothing to tell."""
-        told = [each for each in self.changes if each[0] > after]
+    def response_body(self, path, after):
+        """Return the body of a response; None for a feed without changes."""
+        changes = [change for change in self.changes if change[0] > after]
         if path.endswith('rows-get'):
-            told = self.changes[-1:]
-        if not told:
+            changes = self.changes[-1:]
+        if not changes:
             return None
         rows = [
             {
@@ -108,13 +117,13 @@
                 'ver': version,
                 'value': base64.b64encode(text.encode()).decode(),
             }
-            for version, text in told
+            for version, text in changes
         ]
         return json.dumps({'rows': rows, 'ver': self.version}).encode()
 
 
 class _Body:
-    """One answer on its way over a link."""
+    """A response that is sent over a link."""
 
     code = 200
     headers = SimpleNamespace(getAllRawHeaders=tuple)
@@ -146,7 +155,7 @@
 
 
 class StoreOverLink:
-    """An HTTP client's agent whose answers come over a link."""
+    """An HTTP agent whose responses come over a link."""
 
     def __init__(self, reactor, row, link, name):
         self._reactor = reactor
@@ -155,40 +164,47 @@
         self._name = name
 
     def request(self, _method, url, _headers=None, _body=None):
-        answering = Deferred(lambda _cancelled: None)
+        responding = Deferred(lambda _cancelled: None)
         parts = urlsplit(url.decode())
-        asked = {key: each[0] for key, each in parse_qs(parts.query).items()}
-        wait_s = int(asked.get('waitMs', 0)) / 1000
-        until = self._reactor.seconds() + wait_s
-        after = int(asked.get('after', 0))
+        query = {
+            name: texts[0] for name, texts in parse_qs(parts.query).items()
+        }
+        wait_s = int(query.get('waitMs', 0)) / 1000
+        until_s = self._reactor.seconds() + wait_s
+        after = int(query.get('after', 0))
         self._reactor.callLater(
-            TURN_S, self._try, answering, parts.path, after, until
+            TICK_INTERVAL_S,
+            self._respond,
+            responding,
+            parts.path,
+            after,
+            until_s,
         )
-        return answering
+        return responding
 
-    def _try(self, answering, path, after, until):
-        if answering.called or self._name in self._row.is_silent_for:
+    def _respond(self, responding, path, after, until_s):
+        if responding.called or self._name in self._row.is_silent_for:
             return
-        body = self._row.answer(path, after)
-        if body is None and self._reactor.seconds() < until:
+        body = self._row.response_body(path, after)
+        if body is None and self._reactor.seconds() < until_s:
             self._reactor.callLater(
-                TURN_S, self._try, answering, path, after, until
+                TICK_INTERVAL_S, self._respond, responding, path, after, until_s
             )
             return
         if body is None:
             empty = {'rows': [], 'ver': self._row.version}
             body = json.dumps(empty).encode()
-        answering.callback(_Body(self._link, body))
+        responding.callback(_Body(self._link, body))
 
 
 def a_configuration(version, queues, latency_ms=300):
-    """A configuration's text, some 230 bytes a queue, with names of its own."""
-    names = Random(queues)
+    """Return a configuration's text with random names, 230 bytes a queue."""
+    rng = Random(queues)
     routes = [
         {
-            'name': _letters(names),
+            'name': _letters(rng),
             'host': 'archive.example',
-            'pathPrefix': f'/{_letters(names)}/',
+            'pathPrefix': f'/{_letters(rng)}/',
             'service': 'archive',
             'targetLatencyMs': latency_ms,
             'priority': 1,
@@ -203,5 +219,5 @@
     return json.dumps({'version': version, 'routes': routes})
 
 
-def _letters(names):
-    return ''.join(names.choices(ascii_lowercase, k=8))
+def _letters(rng):
+    return ''.join(rng.choices(ascii_lowercase, k=8))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,8 @@
-"""The users' platform over HTTP: its store, and runners that report.
+"""A stand-in for the platform over HTTP: its store, and runners that report.
 
-Written from its pages; run as ``python -m standins.platform FILE``, where the
-file holds the addresses. It shares the store and the workers of the virtual
-deployment, so that both say the same.
+It follows the platform's documentation and uses the store and the workers of
+the virtual deployment, so that both behave alike.
+Run: ``python -m standins.platform FILE``, where the file holds the addresses.
 """
 
 import base64
@@ -32,11 +32,11 @@
 from standins.jobs.worker import SimWorker
 from standins.runner_wire import RunnerCalls, report_fields
 
-BEAT_S = 0.5
-WORK_MS = 300
+HEARTBEAT_INTERVAL_S = 0.5
+TASK_DURATION_MS = 300
 
 
-def _place(fields):
+def _row_key(fields):
     return RowKey(fields['table'], fields['part'], fields['key'])
 
 
@@ -55,22 +55,23 @@
 def _transaction(body):
     return Transaction(
         tuple(
-            RowCheck(_place(each), each['ver'])
-            for each in body.get('precondition', ())
+            RowCheck(_row_key(check), check['ver'])
+            for check in body.get('precondition', ())
         ),
         tuple(
-            RowPut(_place(each), base64.b64decode(each['value']).decode())
-            for each in body.get('writes', ())
+            RowPut(_row_key(put), base64.b64decode(put['value']).decode())
+            for put in body.get('writes', ())
         ),
-        tuple(_place(each) for each in body.get('remove', ())),
+        tuple(_row_key(removal) for removal in body.get('remove', ())),
     )
 
 
 class StoreResource(Resource):
-    """/-/rows-tx, /-/rows-get and /-/rows-feed, with the faults of the rows.
+    """Serves /-/rows-tx, /-/rows-get and /-/rows-feed with injected faults.
 
-    ``seen_as`` gives texts that its callers see in place of others in rows:
-    so a process finds a proxy where another one wrote its own address.
+    Attributes:
+        seen_as: Replacements in the texts of returned rows, such as the
+            address of a proxy for the address that a process wrote.
     """
 
     isLeaf = True
@@ -81,7 +82,7 @@
         self.seen_as = seen_as or {}
 
     def render(self, request):
-        """Half of the time that a slow store takes is before the deed."""
+        """Serve a request; a slow store delays it half before, half after."""
         body = request.content.read()
         if not self.rows.is_silent:
             reactor.callLater(self.rows.slow_s / 2, self._serve, request, body)
@@ -104,52 +105,52 @@
         if isinstance(outcome, Committed):
             self._send(request, 200, {'ver': outcome.version})
         else:
-            self._send(request, 412, {'rows': self._shown(outcome.rows)})
+            self._send(request, 412, {'rows': self._row_fields(outcome.rows)})
 
     def _read(self, request):
-        asked = {
+        query = {
             name.decode(): texts[0].decode()
             for name, texts in request.args.items()
         }
         if request.path == b'/-/rows-feed':
-            self._feed(request, asked, int(asked['waitMs']))
+            self._feed(request, query, int(query['waitMs']))
             return
-        part, first = asked.get('part', ''), asked.get('from', '')
+        part, first = query.get('part', ''), query.get('from', '')
         rows = [
             row
-            for place, row in sorted(
+            for row_key, row in sorted(
                 self.rows.rows.items(), key=lambda item: item[0].key
             )
-            if place.table == asked['table']
-            and place.part == part
-            and place.key >= first
+            if row_key.table == query['table']
+            and row_key.part == part
+            and row_key.key >= first
         ]
-        fields = {'rows': self._shown(rows), 'hasMore': False}
+        fields = {'rows': self._row_fields(rows), 'hasMore': False}
         self._send(request, 200, {**fields, 'ver': self.rows.version})
 
-    def _feed(self, request, asked, wait_ms):
-        if int(asked['after']) < self.rows.kept_from:
+    def _feed(self, request, query, wait_ms):
+        if int(query['after']) < self.rows.kept_from:
             self._send(request, 410, {})
             return
         rows = [
             row
             for row in self.rows.changes
-            if row.row_key.table == asked['table']
-            and row.version > int(asked['after'])
+            if row.row_key.table == query['table']
+            and row.version > int(query['after'])
         ]
         if not rows and wait_ms > 0:
-            reactor.callLater(0.05, self._feed, request, asked, wait_ms - 50)
+            reactor.callLater(0.05, self._feed, request, query, wait_ms - 50)
             return
-        fields = {'rows': self._shown(rows), 'ver': self.rows.version}
+        fields = {'rows': self._row_fields(rows), 'ver': self.rows.version}
         self._send(request, 200, fields)
 
-    def _shown(self, rows):
-        return [_fields(self._renamed(row)) for row in rows]
+    def _row_fields(self, rows):
+        return [_fields(self._with_replacements(row)) for row in rows]
 
-    def _renamed(self, row):
+    def _with_replacements(self, row):
         text = row.text
-        for told, seen in self.seen_as.items():
-            text = text.replace(told, seen)
+        for written, seen in self.seen_as.items():
+            text = text.replace(written, seen)
         return replace(row, text=text)
 
     def _send(self, request, status, fields):
@@ -166,7 +167,7 @@
 
 
 class RunnerResource(Resource):
-    """/-/run-start, /-/run-stop, /-/hold and /-/pace of one runner."""
+    """Serves /-/run-start, /-/run-stop, /-/hold and /-/pace of a runner."""
 
     isLeaf = True
 
@@ -178,32 +179,34 @@
         body = json.loads(request.content.read())
         worker_id = request.getHeader('expected-instance')
         if 'spec' in body:
-            self._note_size(body['task'])
+            self._record_size(body['task'])
         wait_ms = body.get('waitMs', 0)
-        reactor.callLater(0, self._settle, request, wait_ms, worker_id, body)
+        reactor.callLater(
+            0, self._call_worker, request, wait_ms, worker_id, body
+        )
         return NOT_DONE_YET
 
-    def _note_size(self, task):
-        """Tasks take no room here."""
+    def _record_size(self, task):
+        """Record a task without resources, as its size is not checked."""
         sizes = self.calls.worker.book.sizes
         sizes.setdefault(task.split('.')[0], Size())
 
-    def _settle(self, request, wait_ms, worker_id, body):
-        """A hold's answer waits for an end."""
+    def _call_worker(self, request, wait_ms, worker_id, body):
+        """Call the worker; a hold with a wait waits for a task's end."""
         self.calls.worker.settle()
-        fresh = [
+        new_ends = [
             end
             for end in self.calls.worker.ends
             if end.number > body.get('lastSeen', 0)
         ]
-        if wait_ms > 0 and not fresh:
+        if wait_ms > 0 and not new_ends:
             reactor.callLater(
-                0.02, self._settle, request, wait_ms - 20, worker_id, body
+                0.02, self._call_worker, request, wait_ms - 20, worker_id, body
             )
             return
         self.calls.call(request.path.decode(), worker_id, body).addCallbacks(
             lambda outcome: self._write(request, *outcome),
-            # An order whose answer is lost gets none: it may yet be done.
+            # A lost response: the call may still take effect.
             lambda _failure: None,
         )
 
@@ -214,38 +217,42 @@
             request.finish()
 
 
-def beat(agent, worker, control):
-    """Report to the agent on the runner's own machine until it is gone."""
+def send_heartbeats(agent, worker, control):
+    """Report to the agent on the runner's VM until the runner is removed."""
     if worker.is_gone:
         return
-    reactor.callLater(BEAT_S, beat, agent, worker, control)
+    reactor.callLater(
+        HEARTBEAT_INTERVAL_S, send_heartbeats, agent, worker, control
+    )
     if worker.is_down:
         return
     body = {**report_fields(worker), 'address': control}
     url = f'http://{control}/-/instances/{worker.boot}/heartbeat'.encode()
     producer = _BytesProducer(json.dumps(body).encode())
     headers = Headers({'content-type': ['application/json']})
-    agent.request(b'POST', url, headers, producer).addBoth(lambda _answer: None)
+    agent.request(b'POST', url, headers, producer).addBoth(
+        lambda _response: None
+    )
 
 
 def main(path):
-    """Serve what the file names until the process is ended."""
+    """Serve the store and the runners of a file until the process ends."""
     with open(path, encoding='utf-8') as opened:
         config = json.load(opened)
     rows = MemoryRows(reactor)
     rows.version = 1
-    place = RowKey('op', '', 'config')
-    rows.rows[place] = Row(place, json.dumps(config['configuration']), 1)
+    row_key = RowKey('op', '', 'config')
+    rows.rows[row_key] = Row(row_key, json.dumps(config['configuration']), 1)
     host, port = parse_address(config['store'])
     reactor.listenTCP(port, Site(StoreResource(rows)), interface=host)
     book = Book()
     for number, runner in enumerate(config['runners']):
         worker = SimWorker(
-            reactor, f'runner-{number}', book, lambda task: WORK_MS
+            reactor, f'runner-{number}', book, lambda task: TASK_DURATION_MS
         )
         host, port = parse_address(runner['app'])
         reactor.listenTCP(port, Site(RunnerResource(worker)), interface=host)
-        beat(Agent(reactor), worker, runner['control'])
+        send_heartbeats(Agent(reactor), worker, runner['control'])
     reactor.run()
 
 
--- a/standins/programs.py
+++ b/standins/programs.py
@@ -1,4 +1,4 @@
-"""The platform's programs as processes on this machine, for tests and soaks."""
+"""Start programs as local processes, for tests and soak runs."""
 
 import contextlib
 import json
@@ -12,20 +12,20 @@
 
 
 def free_ports(count, host=HOST):
-    """Return ports that nobody listens on at this moment."""
+    """Return unused ports; another process may take one meanwhile."""
     with contextlib.ExitStack() as opened:
         sockets = [
-            opened.enter_context(socket.socket()) for _each in range(count)
+            opened.enter_context(socket.socket()) for _port in range(count)
         ]
-        for each in sockets:
-            each.bind((host, 0))
-        return [each.getsockname()[1] for each in sockets]
+        for unbound in sockets:
+            unbound.bind((host, 0))
+        return [bound.getsockname()[1] for bound in sockets]
 
 
 def settings_file(
     folder, name, inner, bind, store, seed, app, host=HOST, metrics=None
 ):
-    """Write what the platform tells a process; return its environment."""
+    """Write a process's node file; return the environment that names it."""
     document = {
         'nodeName': name,
         'ip': host,
@@ -43,7 +43,7 @@
 
 
 def start_program(arguments, environment, output):
-    """Start ``python -m`` with this copy of the code; the process."""
+    """Start ``python -m`` with this source tree; return the process."""
     return subprocess.Popen(
         [sys.executable, '-m', *arguments],
         cwd=ROOT,
--- a/standins/runner_wire.py
+++ b/standins/runner_wire.py
@@ -1,4 +1,4 @@
-"""What a runner answers and reports, in the fields of the platform's pages."""
+"""A runner's responses and reports, in the platform's documented fields."""
 
 import json
 from io import BytesIO
@@ -25,28 +25,28 @@
     StartOutcome.BAD_TICKET: 'ticket',
 }
 UNHEALTHY = 503
-LOOK_TIMEOUT_MS = 1200
+POLL_TIMEOUT_MS = 1200
 OWN_HOST = '127.0.0.1'
 
 
 class RunnerCalls:
-    """Carries calls out on a ``SimWorker``; answers are (status, fields)."""
+    """Executes calls on a ``SimWorker``; responses are (status, fields)."""
 
     def __init__(self, worker):
         self.worker = worker
 
-    def call(self, path, worker_id, body, timeout_ms=LOOK_TIMEOUT_MS):
-        """Return a deferred answer; it fails where none comes."""
+    def call(self, path, worker_id, body, timeout_ms=POLL_TIMEOUT_MS):
+        """Return a deferred response, which fails if there is none."""
         if path == '/-/hold':
             calling = self._hold(worker_id, body, timeout_ms)
         else:
             name = path.removeprefix('/-/').replace('-', '_')
             calling = getattr(self, f'_{name}')(worker_id, body)
-        calling.addErrback(_refusal)
+        calling.addErrback(_error_response)
         return calling.addCallback(self._with_clock)
 
-    def _with_clock(self, answer):
-        status, fields = answer
+    def _with_clock(self, response):
+        status, fields = response
         return status, {'clockMs': self.worker.clock_ms(), **fields}
 
     def _run_start(self, worker_id, body):
@@ -60,13 +60,13 @@
             body['untilMs'],
             body.get('ticket', ''),
         )
-        return self.worker.start(start).addCallback(_start_answer)
+        return self.worker.start(start).addCallback(_start_response)
 
     def _run_stop(self, worker_id, body):
         stopping = self.worker.stop(
             worker_id, body['fencingToken'], body['task'], body['runId']
         )
-        return stopping.addCallback(_nothing_more)
+        return stopping.addCallback(_empty_response)
 
     def _pace(self, worker_id, body):
         pacing = self.worker.set_pace(
@@ -76,10 +76,10 @@
             body['runId'],
             body['percent'],
         )
-        return pacing.addCallback(_nothing_more)
+        return pacing.addCallback(_empty_response)
 
     def _hold(self, worker_id, body, timeout_ms):
-        look = PollRequest(
+        request = PollRequest(
             worker_id,
             body['fencingToken'],
             body['lastSeen'],
@@ -87,56 +87,57 @@
             0,
             timeout_ms,
         )
-        listing = self.worker.poll(look)
-        return listing.addCallback(_listing_answer, self.worker)
+        listing = self.worker.poll(request)
+        return listing.addCallback(_listing_response, self.worker)
 
 
 class RunnerClient:
-    """Stands for the HTTP client of an agent, without a network."""
+    """A stand-in for an agent's HTTP client, without a network."""
 
     def __init__(self, worker):
         self._calls = RunnerCalls(worker)
 
     def close_idle(self):
-        """There are no connections here."""
+        """Do nothing, as there are no connections."""
 
     def call(self, _method, path, fields, timeout_ms, headers=()):
         """Return a deferred ``JsonAnswer``."""
         worker_id = dict(headers)['Expected-Instance']
-        answer = Deferred()
+        responding = Deferred()
         calling = self._calls.call(path, worker_id, fields, timeout_ms)
         calling.addCallbacks(
-            lambda told: answer.callback(JsonAnswer(*told)), answer.errback
+            lambda response: responding.callback(JsonAnswer(*response)),
+            responding.errback,
         )
-        return answer
+        return responding
 
 
 def report_fields(worker):
-    """The body of a worker's report about itself."""
-    told = worker.announcement()
+    """Return the fields of a worker's heartbeat."""
+    announced = worker.announcement()
     fields = {
-        'service': told.service,
+        'service': announced.service,
         'address': '127.0.0.1:1',
         'zone': 'zone',
         'version': 'v1',
         'capacity': 8,
-        'state': 'draining' if told.is_leaving else 'ready',
+        'state': 'draining' if announced.is_leaving else 'ready',
         'coldRemainingMs': 0,
-        'remainingMs': told.remaining_ms,
+        'remainingMs': announced.remaining_ms,
         'freeCapacity': {
-            'cpu': told.room.cpu_millis,
-            'memMb': told.room.memory_mb,
-            'gpu': told.room.accelerators,
+            'cpu': announced.room.cpu_millis,
+            'memMb': announced.room.memory_mb,
+            'gpu': announced.room.accelerators,
         },
-        'labels': list(told.labels),
-        'clockMs': told.clock_ms,
-        'sequence': told.sequence,
+        'labels': list(announced.labels),
+        'clockMs': announced.clock_ms,
+        'sequence': announced.sequence,
     }
     return {**fields, **worker.born_fields()}
 
 
 def post_report(resource, worker_id, fields, verb='heartbeat', host=OWN_HOST):
-    """Hand a report to an agent's resource; return the status."""
+    """Post a report to an agent's resource; return the status."""
     client = IPv4Address('TCP', host, 1)
     request = DummyRequest([])
     request.client = client
@@ -147,7 +148,7 @@
     return request.responseCode
 
 
-def _refusal(failure):
+def _error_response(failure):
     if failure.check(WorkerReplaced):
         return 421, {}
     if failure.check(WorkerFenced):
@@ -155,7 +156,7 @@
     return failure
 
 
-def _start_answer(outcome):
+def _start_response(outcome):
     if outcome is StartOutcome.STARTED:
         return 200, {}
     if outcome is StartOutcome.UNHEALTHY:
@@ -163,22 +164,22 @@
     return 409, {'reason': REASON_BY_OUTCOME[outcome]}
 
 
-def _nothing_more(_taken):
+def _empty_response(_outcome):
     return 200, {}
 
 
-def _listing_answer(listing, worker):
+def _listing_response(listing, worker):
     running = [
         [row.task, row.attempt, row.checkpoint, row.percent, row.load]
         for row in listing.rows
     ]
     finished = [
-        [end.number, end.task, end.attempt, _word(end.how), end.checkpoint]
+        [end.number, end.task, end.attempt, _end_name(end.how), end.checkpoint]
         for end in listing.ends
     ]
     fields = {'running': running, 'finished': finished}
     return 200, {**fields, **worker.born_fields()}
 
 
-def _word(how):
+def _end_name(how):
     return 'lapsed' if how is AttemptEnd.LOST else how.value
--- a/standins/virtual/__init__.py
+++ b/standins/virtual/__init__.py
@@ -1,8 +1,8 @@
 """A deployment without sockets, under a virtual clock, for tests and bench.
 
-The real cores of entries and agents, joined by links that can be cut, go
-silent or be slow, to the stand-ins of the platform. Deterministic: one event
-queue, seeded random numbers.
+It connects the real cores of entries and agents, and the stand-ins of the
+platform, by links that can be closed, silent or slow. It is deterministic: it
+has one event queue and seeded random numbers.
 """
 
 from standins.virtual.agent import AgentNode
--- a/standins/virtual/agent.py
+++ b/standins/virtual/agent.py
@@ -47,21 +47,23 @@
         every(1000, self.core.tasks.tick)
         every(1000, self.core.heartbeat)
         every(500, self._announce)
-        every(500, self._list)
+        every(500, self._poll_worker)
         every(10_000, self.core.tasks.report_progress)
         every(300, self._dial)
 
     def add_backend(self, backend):
+        """Add a backend server to the VM and announce it."""
         self.backend_by_name[backend.name] = backend
         self.core.backends.announce(backend.announcement())
 
     def call(self, address, request, timeout_ms, done):
         backend = self.backend_by_name[address]
         backend.serve(
-            request, timeout_ms, lambda answer: self.take(done, answer)
+            request, timeout_ms, lambda response: self.deliver(done, response)
         )
 
     def send(self, entry_id, message):
+        """Send a message; return False without a link to the entry."""
         link = self.link_by_entry.get(entry_id)
         if link is None:
             return False
@@ -69,6 +71,7 @@
         return True
 
     def broadcast(self, message):
+        """Send a message to all connected entries."""
         for entry_id in list(self.link_by_entry):
             self.send(entry_id, message)
 
@@ -77,9 +80,9 @@
             if not backend.is_dead:
                 self.core.backends.announce(backend.announcement())
 
-    def _list(self):
-        asked_at = self.deployment.clock_of(self.name).now()
-        self.core.tasks.on_listing(self.worker.list(), asked_at)
+    def _poll_worker(self):
+        polled_at = self.deployment.clock_of(self.name).now()
+        self.core.tasks.on_listing(self.worker.list(), polled_at)
 
     def _dial(self):
         directory = self.core.directory
@@ -94,6 +97,6 @@
         for entry_id in self.core.closable_entries():
             self.link_by_entry[entry_id].close()
         for name, link in list(self.link_by_entry.items()):
-            limit = self.core.sessions.silence_timeout_ms(name)
-            if link.heard_by_agent + limit < self.deployment.loop.now:
+            timeout_ms = self.core.sessions.silence_timeout_ms(name)
+            if link.last_received_at + timeout_ms < self.deployment.loop.now:
                 link.close_by_agent()
--- a/standins/virtual/backend.py
+++ b/standins/virtual/backend.py
@@ -12,7 +12,12 @@
 
 
 class VirtualBackend:
-    """A backend server: so many slots, a service time per request."""
+    """A backend server with a service time per request.
+
+    Attributes:
+        service_ms: Returns the service time in ms of the next request.
+        runs_by_request: Number of runs by request id.
+    """
 
     def __init__(
         self, loop, name, service_name, slots=8, service_ms=lambda: 20.0
@@ -28,6 +33,7 @@
         self._unfinished = {}
 
     def announcement(self):
+        """Return the announcement to the agent."""
         return AnnouncedBackend(
             self.name,
             self.service_name,
@@ -38,6 +44,7 @@
         )
 
     def serve(self, request, timeout_ms, done):
+        """Run a request; ``done`` gets the response, at a timeout a failure."""
         if self.is_dead:
             done(
                 CallResponse(
@@ -48,28 +55,32 @@
             )
             return
         self.runs_by_request[request.request_id] += 1
-        asked = parse_qs(urlparse(request.path).query).get('ms')
-        took = float(asked[0]) if asked else self.service_ms()
+        requested_ms = parse_qs(urlparse(request.path).query).get('ms')
+        duration_ms = (
+            float(requested_ms[0]) if requested_ms else self.service_ms()
+        )
         response = CallResponse(
             request.request_id,
             CallOutcome.ANSWERED.value,
             200,
             body=b'echo:' + request.body,
         )
-        if took > timeout_ms:
+        if duration_ms > timeout_ms:
             response = _failed(request)
         run = object()
         self._unfinished[run] = (request, done)
-        self.loop.later(min(took, timeout_ms), self._finish, run, response)
+        self.loop.later(
+            min(duration_ms, timeout_ms), self._finish, run, response
+        )
 
     def kill(self):
-        """Its connections end in the middle of what it runs."""
+        """Crash: all requests that it runs fail."""
         self.is_dead = True
         for run, (request, _) in list(self._unfinished.items()):
             self._finish(run, _failed(request))
 
     def _finish(self, run, response):
-        _, done = self._unfinished.pop(run, (None, _unheard))
+        _, done = self._unfinished.pop(run, (None, _ignore))
         done(response)
 
 
@@ -81,5 +92,5 @@
     )
 
 
-def _unheard(answer):
-    """Its agent has had the answer: the run ended before."""
+def _ignore(response):
+    """Drop the response of a run that failed in a crash."""
--- a/standins/virtual/callers.py
+++ b/standins/virtual/callers.py
@@ -4,7 +4,7 @@
 
 
 class VirtualCallers:
-    """Collects the answers by request id; a second answer is an error."""
+    """Collects responses by request id; a second response is an error."""
 
     def __init__(self):
         self.answer_by_id = {}
--- a/standins/virtual/deployment.py
+++ b/standins/virtual/deployment.py
@@ -1,4 +1,4 @@
-"""Entries, agents, their stand-ins and the table in one event queue."""
+"""A virtual deployment: its processes, table and event queue."""
 
 import itertools
 import random
@@ -21,7 +21,13 @@
 
 
 class VirtualDeployment:
-    """Entries, agents, backends and the table, in one event queue."""
+    """Entries, agents, backends and the table, in one event queue.
+
+    Attributes:
+        blocked_pairs: Names of entries and agents that can't connect.
+        rate_by_name: Clock rates of processes; 1 by default.
+        subset: Maximum number of entries that an agent connects to.
+    """
 
     def __init__(
         self,
@@ -47,7 +53,7 @@
         self.blocked_pairs = set()
         self.rate_by_name = rate_by_name or {}
         self.subset = subset
-        self.seeds = seeds or [f'entry-{each}' for each in range(entries)]
+        self.seeds = seeds or [f'entry-{number}' for number in range(entries)]
         self._request_numbers = itertools.count()
         self.entry_by_name = {}
         self.agent_by_name = {}
@@ -63,37 +69,41 @@
             self.agent_by_name[agent.name] = agent
 
     def network_ms(self, entry, agent):
-        same = entry.core.identity.zone == agent.core.identity.zone
-        return NETWORK_MS / 5 if same else NETWORK_MS
+        """Return the one-way delay, which is shorter within a zone."""
+        is_same_zone = entry.core.identity.zone == agent.core.identity.zone
+        return NETWORK_MS / 5 if is_same_zone else NETWORK_MS
 
     def can_dial(self, agent, entry):
+        """Whether an agent can connect to an entry now."""
         is_blocked = (entry.name, agent.name) in self.blocked_pairs
         return entry.is_alive and not entry.is_paused and not is_blocked
 
     def resolve(self, address):
-        """The entry at an address; the balancer's leads to any live one."""
+        """Return the entry at an address; the balancer picks a live one."""
         if address == BALANCER:
-            live = [e for e in self.entry_by_name.values() if e.is_alive]
+            live = [
+                entry for entry in self.entry_by_name.values() if entry.is_alive
+            ]
             return self.rng.choice(live) if live else None
         return self.entry_by_name.get(address)
 
     def add_entry(self, number, zone):
-        """A fresh entry under an id and an address of its own."""
+        """Add an entry with a new id and address."""
         entry = EntryNode(self, number, zone)
         self.entry_by_name[entry.name] = entry
         return entry
 
     def clock_of(self, name):
-        """A process's own clock; ``rate_by_name`` makes it fast or slow."""
+        """Return a process's clock, which runs at its rate."""
         rate = self.rate_by_name.get(name)
         return self.loop.clock if rate is None else RateClock(self.loop, rate)
 
-    def places_by_task(self):
-        """How many workers run each task now; more than one is a fault."""
+    def worker_count_by_task(self):
+        """Return how many workers run each task now; at most one may."""
         living = {
-            id(each.worker): each.worker
-            for each in self.workers
-            if each.is_alive
+            id(node.worker): node.worker
+            for node in self.workers
+            if node.is_alive
         }
         return Counter(
             task_id
@@ -102,21 +112,25 @@
         )
 
     def entry(self, number=0):
+        """Return an entry by its number."""
         return self.entry_by_name[f'entry-{number}']
 
     def agent(self, number=0):
+        """Return an agent by its number."""
         return self.agent_by_name[f'agent-{number}']
 
     def run(self, millis):
+        """Advance the virtual clock by ms and run the events due."""
         self.loop.run(millis)
 
     def configure(self, key, document, entry=0, expected=0):
-        answers = []
+        """Change a configuration item; return a list for the outcome."""
+        outcomes = []
         change = ConfigurationChange(key, expected, document)
         self.entry(entry).core.configuration_keeper.change(
-            change, answers.append
+            change, outcomes.append
         )
-        return answers
+        return outcomes
 
     def call(
         self,
@@ -127,6 +141,7 @@
         budget_ms=2000.0,
         key='',
     ):
+        """Submit a request to an entry; return its id."""
         request_id = f'request-{next(self._request_numbers)}'
         call = Call(
             request_id,
@@ -142,21 +157,22 @@
         return request_id
 
     def answer(self, request_id):
+        """Return the response to a request, None if there is none yet."""
         for entry in self.entry_by_name.values():
-            found = entry.callers.answer_by_id.get(request_id)
-            if found is not None:
-                return found
+            response = entry.callers.answer_by_id.get(request_id)
+            if response is not None:
+                return response
         return None
 
     def kill_entry(self, number):
-        """kill -9: connections end, nothing is said."""
+        """Crash an entry: its connections close without a message."""
         entry = self.entry(number)
         entry.is_alive = False
         for link in list(entry.link_by_agent.values()):
             link.close()
 
     def kill_agent(self, number):
-        """kill -9 of the agent; its worker and backends go on."""
+        """Crash an agent; its worker and backend servers keep running."""
         agent = self.agent(number)
         agent.is_alive = False
         for link in list(agent.link_by_entry.values()):
@@ -164,7 +180,7 @@
         return agent
 
     def restart_agent(self, number, keep_worker=True):
-        """A fresh agent on the same VM, or on a new one without its worker."""
+        """Start a new incarnation, on the same VM or on an empty one."""
         old = self.agent(number)
         identity = old.core.identity
         agent = AgentNode(
@@ -184,6 +200,7 @@
         return agent
 
     def restart_entry(self, number):
+        """Start a new incarnation of an entry."""
         old = self.entry(number)
         entry = EntryNode(
             self,
--- a/standins/virtual/entry.py
+++ b/standins/virtual/entry.py
@@ -21,7 +21,9 @@
         self.deployment = deployment
         self.name = f'entry-{number}'
         self.link_by_agent = {}
-        self.store = VirtualStore(deployment.loop, deployment.table, self.take)
+        self.store = VirtualStore(
+            deployment.loop, deployment.table, self.deliver
+        )
         self.callers = callers or VirtualCallers()
         self.core = EntryCore(
             deployment.clock_of(self.name),
@@ -48,6 +50,7 @@
         every(1000, self.core.renew)
 
     def send(self, agent_id, message):
+        """Send a message; return False without a link to the agent."""
         link = self.link_by_agent.get(agent_id)
         if link is None:
             return False
@@ -55,6 +58,7 @@
         return True
 
     def drop(self, agent_id):
+        """Close the link to an agent, if any."""
         link = self.link_by_agent.get(agent_id)
         if link is not None:
             link.close_by_entry()
--- a/standins/virtual/links.py
+++ b/standins/virtual/links.py
@@ -1,4 +1,4 @@
-"""The connection of an agent to an entry, which can fail in many ways."""
+"""The connection of an agent to an entry, with injected faults."""
 
 from hyssopring.protocol.messages import Welcome
 
@@ -9,9 +9,11 @@
     """One connection; messages keep their order in each direction.
 
     Attributes:
-        is_silent_to_agent, is_silent_to_entry: Nothing arrives there any
-            more, not even word of the connection's end.
-        delay_ms: Added to the network's own delay.
+        is_silent_to_agent, is_silent_to_entry: Whether messages in this
+            direction are lost, and the closing of the connection as well.
+        delay_ms: Additional one-way delay.
+        last_received_at: When the agent last received a message, in ms.
+        record: The entry's record of the agent.
     """
 
     def __init__(self, deployment, entry, agent, address=None):
@@ -24,9 +26,9 @@
         self.is_silent_to_agent = False
         self.is_silent_to_entry = False
         self.delay_ms = 0.0
-        self.heard_by_agent = deployment.loop.now
-        self._last_at_agent = 0.0
-        self._last_at_entry = 0.0
+        self.last_received_at = deployment.loop.now
+        self._agent_arrival_at = 0.0
+        self._entry_arrival_at = 0.0
         self.record = None
         self.is_welcomed = False
         identity = agent.core.identity
@@ -57,36 +59,40 @@
         self.is_silent_to_entry = is_silent
 
     def to_agent(self, message):
-        self._last_at_agent = self._when(self._last_at_agent)
-        self._later(self._last_at_agent, self._at_agent, message)
+        """Send a message from the entry."""
+        self._agent_arrival_at = self._next_arrival(self._agent_arrival_at)
+        self._schedule(self._agent_arrival_at, self._at_agent, message)
 
     def to_entry(self, message):
-        self._last_at_entry = self._when(self._last_at_entry)
-        self._later(self._last_at_entry, self._at_entry, message)
+        """Send a message from the agent."""
+        self._entry_arrival_at = self._next_arrival(self._entry_arrival_at)
+        self._schedule(self._entry_arrival_at, self._at_entry, message)
 
     def close(self):
-        """Cut it: both ends learn at once."""
-        self._end_at_agent()
-        self._end_at_entry()
+        """Close both ends at once."""
+        self._close_at_agent()
+        self._close_at_entry()
 
     def close_by_entry(self):
-        self._end_at_entry()
+        """Close the entry's end, and the agent's unless it is silent."""
+        self._close_at_entry()
         if not self.is_silent_to_agent:
-            self._end_at_agent()
+            self._close_at_agent()
 
     def close_by_agent(self):
-        self._end_at_agent()
+        """Close the agent's end, and the entry's unless it is silent."""
+        self._close_at_agent()
         if not self.is_silent_to_entry:
-            self._end_at_entry()
+            self._close_at_entry()
 
-    def _end_at_agent(self):
+    def _close_at_agent(self):
         if not self.is_open_at_agent:
             return
         self.is_open_at_agent = False
         if self.agent.link_by_entry.get(self.entry.name) is self:
             self.agent.link_by_entry.pop(self.entry.name)
-        self.agent.take(self._closed_at_agent)
-        self.agent.take(self.agent.core.on_disconnected, self.entry.name)
+        self.agent.deliver(self._closed_at_agent)
+        self.agent.deliver(self.agent.core.on_disconnected, self.entry.name)
 
     def _closed_at_agent(self):
         directory = self.agent.core.directory
@@ -95,31 +101,32 @@
         else:
             directory.closed(self.address)
 
-    def _end_at_entry(self):
+    def _close_at_entry(self):
         if not self.is_open_at_entry:
             return
         self.is_open_at_entry = False
         if self.entry.link_by_agent.get(self.agent.name) is self:
             self.entry.link_by_agent.pop(self.agent.name)
-        self.entry.take(self.entry.core.on_disconnected, self.record)
+        self.entry.deliver(self.entry.core.on_disconnected, self.record)
 
-    def _when(self, last):
-        delay = self.deployment.network_ms(self.entry, self.agent)
-        return max(self.deployment.loop.now + delay + self.delay_ms, last)
+    def _next_arrival(self, last_arrival_at):
+        network_ms = self.deployment.network_ms(self.entry, self.agent)
+        arrival_at = self.deployment.loop.now + network_ms + self.delay_ms
+        return max(arrival_at, last_arrival_at)
 
-    def _later(self, when, receive, message):
+    def _schedule(self, arrival_at, receive, message):
         self.deployment.loop.later(
-            when - self.deployment.loop.now, receive, message
+            arrival_at - self.deployment.loop.now, receive, message
         )
 
     def _at_agent(self, message):
         if not self.is_silent_to_agent and self.is_open_at_agent:
-            self.agent.take(self._receive_at_agent, message)
+            self.agent.deliver(self._receive_at_agent, message)
 
     def _receive_at_agent(self, message):
         if not self.is_open_at_agent:
             return
-        self.heard_by_agent = self.deployment.loop.now
+        self.last_received_at = self.deployment.loop.now
         if isinstance(message, Welcome):
             self.is_welcomed = True
             self.agent.core.directory.opened(self.address, self.entry.name)
@@ -129,7 +136,7 @@
 
     def _at_entry(self, message):
         if not self.is_silent_to_entry and self.is_open_at_entry:
-            self.entry.take(self._receive_at_entry, message)
+            self.entry.deliver(self._receive_at_entry, message)
 
     def _receive_at_entry(self, message):
         if self.is_open_at_entry:
--- a/standins/virtual/process.py
+++ b/standins/virtual/process.py
@@ -1,15 +1,19 @@
-"""What a paused and a killed process have in common."""
+"""The base of all processes of a virtual deployment."""
 
 __all__ = ('Process',)
 
 
 class Process:
-    """What a pause and a kill do: its mail waits, in order, or is lost."""
+    """A process that can be paused and killed.
+
+    While it is paused, calls to it are queued in order; once it is killed
+    they are lost.
+    """
 
     def __init__(self):
         self.is_alive = True
         self._is_paused = False
-        self._mail = []
+        self._queued_calls = []
 
     @property
     def is_paused(self):
@@ -18,22 +22,22 @@
     @is_paused.setter
     def is_paused(self, is_paused):
         self._is_paused = is_paused
-        while self._mail and not self._is_paused:
-            action, arguments = self._mail.pop(0)
-            self.take(action, *arguments)
+        while self._queued_calls and not self._is_paused:
+            action, arguments = self._queued_calls.pop(0)
+            self.deliver(action, *arguments)
 
-    def take(self, action, *arguments):
-        """Let something arrive at this process."""
+    def deliver(self, action, *arguments):
+        """Call an action in this process; queue it during a pause."""
         if self._is_paused:
-            self._mail.append((action, arguments))
+            self._queued_calls.append((action, arguments))
         elif self.is_alive:
             action(*arguments)
 
     def _every(self, loop, millis, action):
-        """Do something at intervals while alive, but not while paused."""
+        """Call an action at intervals while alive and not paused."""
 
-        def act():
+        def run_unless_paused():
             if not self._is_paused:
                 action()
 
-        loop.every(millis, act, lambda: self.is_alive)
+        loop.every(millis, run_unless_paused, lambda: self.is_alive)
--- a/standins/virtual/store.py
+++ b/standins/virtual/store.py
@@ -1,4 +1,4 @@
-"""An entry's client of the shared table, under the virtual clock."""
+"""An entry's store client under the virtual clock."""
 
 from result import Err, Ok
 
@@ -12,19 +12,25 @@
 
 
 class VirtualStore:
-    """One entry's client of the shared table, with faults.
+    """An entry's client of the shared table, with injected faults.
 
-    A commit slower than the client's timeout is given up and takes effect
-    afterwards.
+    A commit slower than the client's timeout fails with an unknown outcome and
+    takes effect afterwards.
+
+    Attributes:
+        is_cut: Whether the table is unreachable for this entry.
+        lose_responses: Number of commits that take effect but fail.
     """
 
-    def __init__(self, loop, table, take=lambda action, *args: action(*args)):
+    def __init__(
+        self, loop, table, deliver=lambda action, *args: action(*args)
+    ):
         self.loop = loop
         self.table = table
-        self.take = take
+        self._deliver = deliver
         self.is_cut = False
         self.delay_ms = 0.0
-        self.lose_answers = 0
+        self.lose_responses = 0
         self.commits = 0
         self.reads = 0
 
@@ -36,7 +42,7 @@
         self.reads += 1
         self._call(self._read, prefix, done)
 
-    def _call(self, work, subject, done):
+    def _call(self, action, argument, done):
         if self._is_down():
             self._fail(done)
             return
@@ -44,45 +50,45 @@
         if delay > STORE_TIMEOUT_MS:
             self._fail(done)
             done = _ignore
-        self.loop.later(delay, work, subject, done)
+        self.loop.later(delay, action, argument, done)
 
     def _is_down(self):
         return self.is_cut or self.table.outage
 
     def _fail(self, done):
         failure = Failure(ErrorKind.STORE_UNAVAILABLE, 'down')
-        self.loop.later(STORE_TIMEOUT_MS, self.take, done, Err(failure))
+        self.loop.later(STORE_TIMEOUT_MS, self._deliver, done, Err(failure))
 
     def _commit(self, transaction, done):
         if self._is_down():
             self._fail(done)
             return
-        answer = self.table.commit(
+        response = self.table.commit(
             transaction.operation,
             [(check.key, check.version) for check in transaction.checks],
             [(put.key, put.document) for put in transaction.puts],
         )
-        if 'versions' in answer and self.loses(transaction):
+        if 'versions' in response and self.is_response_lost(transaction):
             self._fail(done)
-        elif 'versions' in answer:
-            self.take(done, Ok(Committed(answer['versions'])))
+        elif 'versions' in response:
+            self._deliver(done, Ok(Committed(response['versions'])))
         else:
-            rows = tuple(Row(*row) for row in answer['rows'])
-            self.take(done, Ok(Conflict(rows)))
+            rows = tuple(Row(*row) for row in response['rows'])
+            self._deliver(done, Ok(Conflict(rows)))
 
     def _read(self, prefix, done):
         if self._is_down():
             self._fail(done)
             return
         rows = [Row(*row) for row in self.table.read(prefix)]
-        self.take(done, Ok(rows))
+        self._deliver(done, Ok(rows))
 
-    def loses(self, transaction):
-        """Whether the answer to a commit that took effect is lost."""
-        is_lost = self.lose_answers > 0
-        self.lose_answers -= is_lost
+    def is_response_lost(self, transaction):
+        """Whether to lose the response to this commit; counts it."""
+        is_lost = self.lose_responses > 0
+        self.lose_responses -= is_lost
         return is_lost
 
 
-def _ignore(answer):
-    """The client has given up; nobody hears this answer."""
+def _ignore(response):
+    """Drop a response that arrives after the timeout."""
--- a/standins/virtual/worker.py
+++ b/standins/virtual/worker.py
@@ -10,9 +10,12 @@
 
 __all__ = ('VirtualWorker',)
 
+_DELAY_MS = 1.0
+_TIMEOUT_MS = 2000.0
+
 
 class VirtualWorker(Process):
-    """The worker stand-in behind the agent's port."""
+    """Adapts the worker stand-in to the agent's port."""
 
     def __init__(self, loop, clock=None, fails=False, agent=None):
         super().__init__()
@@ -49,10 +52,10 @@
                 command.worker_boot,
                 self.session,
             ),
-            lambda answer: done(
-                answer
+            lambda response: done(
+                response
                 and StopResponse(
-                    TaskPhase(answer['phase']), answer['checkpoint']
+                    TaskPhase(response['phase']), response['checkpoint']
                 )
             ),
         )
@@ -61,7 +64,7 @@
         self.worker.throttle(task_id, share)
 
     def renew(self, until_by_task):
-        self.take(self.worker.renew, until_by_task, self.session)
+        self.deliver(self.worker.renew, until_by_task, self.session)
 
     def list(self):
         if self.is_paused or not self.is_alive:
@@ -74,26 +77,26 @@
         )
 
     def replace(self, fails=False):
-        """A new worker on a VM of the same name; the old one dies."""
+        """Replace the worker by an empty one, as on a new VM."""
         self.worker = Worker(self.worker.now, fails)
 
-    def _post(self, work, done):
-        """Obey after the way there; give up waiting after two seconds."""
-        answered = []
+    def _post(self, action, done):
+        """Call the worker after a delay; ``done`` gets None at a timeout."""
+        outcomes = []
 
         def arrive():
-            answer = work()
-            if not answered:
-                answered.append(True)
-                self.agent.take(done, answer)
-
-        def give_up():
-            if not answered:
-                answered.append(False)
-                self.agent.take(done, None)
-
-        self.loop.later(1.0, self.take, arrive)
-        self.loop.later(2000.0, give_up)
+            response = action()
+            if not outcomes:
+                outcomes.append(True)
+                self.agent.deliver(done, response)
+
+        def time_out():
+            if not outcomes:
+                outcomes.append(False)
+                self.agent.deliver(done, None)
+
+        self.loop.later(_DELAY_MS, self.deliver, arrive)
+        self.loop.later(_TIMEOUT_MS, time_out)
 
 
 def _listed(task):
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,12 +1,12 @@
-"""Stand-in for the platform's worker: runs tasks under leases, on timers.
+"""A stand-in for the platform's worker, which simulates tasks under leases.
 
-One agent session at a time is obeyed: the listing for a new one refuses what
-older ones still send. Deadlines are points of the VM's clock.
+The worker accepts commands of one agent session at a time: a listing for a new
+session fences off the older ones. Lease expiries are times of the VM's clock.
 
 HTTP: ``POST /tasks/ID/start``, ``/tasks/ID/stop``, ``/tasks/ID/throttle``,
 ``/leases``;
-``GET /tasks``. A task whose lease is not renewed ends by itself. The log of
-starts and ends on standard output lets a test check that no task ran twice.
+``GET /tasks``. A task stops when its lease expires. The log of starts
+and ends on standard output lets a test check that no task ran twice.
 Run: ``python -m standins.worker HOST:PORT``.
 """
 
@@ -18,17 +18,23 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-_BATCH_STEP_MS = 100
-_NOTHING = {'cores': 0.0, 'memory_gb': 0.0, 'accelerators': 0}
+_CHECKPOINT_INTERVAL_MS = 100
+_NO_RESOURCES = {'cores': 0.0, 'memory_gb': 0.0, 'accelerators': 0}
 
 
 def vm_clock():
-    """Milliseconds of the clock that all processes of a VM share."""
+    """Return ms of the clock that all processes of a VM share."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 class Worker:
-    """Tasks in memory, by id."""
+    """Simulated tasks in memory.
+
+    Attributes:
+        fails: Whether each task fails at its start.
+        retired: Sessions that were replaced.
+        history: Time in ms, event and task of each start and end.
+    """
 
     def __init__(self, now=vm_clock, fails=False):
         self.now = now
@@ -40,13 +46,15 @@
         self.history = []
 
     def start(self, task_id, command, until, session):
-        """Return whether it was started."""
+        """Start a task; return False if the command is stale or expired."""
         self.advance()
-        known = self.task_by_id.get(task_id)
+        present = self.task_by_id.get(task_id)
         is_stale = (
             session != self.session or command['worker_boot'] != self.boot
         )
-        is_old = known is not None and known['attempt'] >= command['attempt']
+        is_old = (
+            present is not None and present['attempt'] >= command['attempt']
+        )
         if is_stale or is_old or until <= self.now():
             return False
         self.task_by_id[task_id] = {
@@ -56,16 +64,16 @@
             'checkpoint': command['checkpoint'],
             'command': command,
             'share': 1.0,
-            'used': dict(command.get('size') or _NOTHING),
+            'used': dict(command.get('size') or _NO_RESOURCES),
             'until': until,
             'resumed_at': self.now(),
             'done_ms': float(command['checkpoint'] or 0),
         }
-        self._note('start', task_id)
+        self._log('start', task_id)
         return True
 
     def stop(self, task_id, attempt, boot, session):
-        """Return phase and checkpoint, None to an old session."""
+        """Stop a task; return its phase and checkpoint, None if stale."""
         if session != self.session or boot != self.boot:
             return None
         self.advance()
@@ -75,20 +83,22 @@
         self.task_by_id.pop(task_id)
         if task['phase'] == 'running':
             task['phase'] = 'stopped'
-            self._note('stop', task_id)
+            self._log('stop', task_id)
         return {'phase': task['phase'], 'checkpoint': task['checkpoint']}
 
     def throttle(self, task_id, share):
+        """Set the share of processor time that a task gets."""
         self.advance()
         task = self.task_by_id.get(task_id)
         if task is not None and task['share'] != share:
-            now = self.now()
-            task['done_ms'] += task['share'] * (now - task['resumed_at'])
-            task['resumed_at'] = now
+            now_ms = self.now()
+            task['done_ms'] += task['share'] * (now_ms - task['resumed_at'])
+            task['resumed_at'] = now_ms
             task['share'] = share
-            self._note('throttle', task_id)
+            self._log('throttle', task_id)
 
     def renew(self, until_by_task, session):
+        """Set the lease expiries of tasks; ignore a stale session."""
         self.advance()
         if session != self.session:
             return
@@ -97,7 +107,7 @@
                 self.task_by_id[task_id]['until'] = until
 
     def listing(self, session):
-        """All tasks, None to an old session; a new one becomes current."""
+        """Return all tasks, None to a replaced session; adopt a new one."""
         self.advance()
         if session in self.retired:
             return None
@@ -107,7 +117,7 @@
         return list(self.task_by_id.values())
 
     def running(self):
-        """Tasks that run now, also when no command has come for long."""
+        """Return ids of running tasks whose leases have not expired."""
         return [
             task_id
             for task_id, task in self.task_by_id.items()
@@ -115,31 +125,34 @@
         ]
 
     def advance(self):
-        """Let time take effect: progress, completion, lapsed leases."""
-        now = self.now()
+        """Update progress, completions and expired leases to the present."""
+        now_ms = self.now()
         for task_id, task in list(self.task_by_id.items()):
             if task['phase'] != 'running':
                 continue
-            if now > task['until']:
+            if now_ms > task['until']:
                 self.task_by_id.pop(task_id)
-                self._note('lapse', task_id)
+                self._log('lapse', task_id)
                 continue
-            elapsed = now - task['resumed_at']
-            done = task['done_ms'] + task['share'] * elapsed
+            elapsed_ms = now_ms - task['resumed_at']
+            done_ms = task['done_ms'] + task['share'] * elapsed_ms
             task['checkpoint'] = str(
-                int(done // _BATCH_STEP_MS) * _BATCH_STEP_MS
+                int(done_ms // _CHECKPOINT_INTERVAL_MS)
+                * _CHECKPOINT_INTERVAL_MS
             )
             is_batch = task['command']['kind'] == 'batch'
-            if is_batch and done >= task['command']['run_ms']:
+            if is_batch and done_ms >= task['command']['run_ms']:
                 task['phase'] = 'completed'
-                self._note('complete', task_id)
+                self._log('complete', task_id)
 
-    def _note(self, what, task_id):
-        self.history.append((self.now(), what, task_id))
-        print(f'{time.time():.3f} {what} {task_id}', flush=True)
+    def _log(self, event, task_id):
+        self.history.append((self.now(), event, task_id))
+        print(f'{time.time():.3f} {event} {task_id}', flush=True)
 
 
 class WorkerResource(Resource):
+    """Serves a worker over HTTP."""
+
     isLeaf = True
 
     def __init__(self, worker):
@@ -157,12 +170,12 @@
     def render_POST(self, request):
         body = json.loads(request.content.read())
         parts = request.path.decode().strip('/').split('/')
-        answer = self._obey(parts, body)
-        if answer is None:
+        response = self._execute(parts, body)
+        if response is None:
             request.setResponseCode(409)
-        return json.dumps(answer or {}).encode()
+        return json.dumps(response or {}).encode()
 
-    def _obey(self, parts, body):
+    def _execute(self, parts, body):
         session = body['session']
         if parts == ['leases']:
             self.worker.renew(body['until'], session)
@@ -182,6 +195,7 @@
 
 
 def listen(reactor, address, worker):
+    """Serve a worker at an address; return the port."""
     host, port = address.rsplit(':', 1)
     return reactor.listenTCP(
         int(port), Site(WorkerResource(worker)), interface=host
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -117,7 +117,7 @@
 
 def test_store_answer_lost_after_the_claim_took_effect():
     deployment = booking_deployment()
-    deployment.entry(0).store.lose_answers = 1
+    deployment.entry(0).store.lose_responses = 1
     first = book(deployment)
     deployment.run(2500)
     second = book(deployment, entry=1)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -149,7 +149,7 @@
     same item meanwhile, and the retry finds rows that are not its own.
     """
     deployment = ready(entries=2, agents=1)
-    deployment.entry(0).store.lose_answers = 1
+    deployment.entry(0).store.lose_responses = 1
     lost = deployment.configure('team/t1', team(7), entry=0, expected=2)
     deployment.run(1000)
     later = deployment.configure('team/t1', team(9), entry=1, expected=4)
--- a/tests/test_configuration_random.py
+++ b/tests/test_configuration_random.py
@@ -59,7 +59,7 @@
     def fault(self, dice, entry):
         deployment = self.deployment
         if dice < 0.1:
-            entry.store.lose_answers += 1
+            entry.store.lose_responses += 1
             self.faults['answer lost'] += 1
         elif dice < 0.16:
             deployment.table.outage = not deployment.table.outage
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -49,7 +49,7 @@
     """
     deployment = VirtualDeployment(entries=1)
     deployment.run(1001 + skipped_polls * 1000)
-    deployment.entry().store.lose_answers = 1
+    deployment.entry().store.lose_responses = 1
     deployment.run(20_000)
     assert all_held_shards(deployment) == [0, 1, 2, 3]
 
@@ -59,7 +59,7 @@
     deployment = VirtualDeployment(entries=1)
     deployment.run(10_000)
     epochs = [held.epoch for held in deployment.entry().core.shards.held()]
-    deployment.entry().store.lose_answers = 1
+    deployment.entry().store.lose_responses = 1
     deployment.run(5_000)
     held = deployment.entry().core.shards.held()
     assert [held_shard.epoch for held_shard in held] == epochs
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -36,7 +36,7 @@
         deployment.run(step)
         duplicated = [
             task
-            for task, places in deployment.places_by_task().items()
+            for task, places in deployment.worker_count_by_task().items()
             if places > 1
         ]
         assert not duplicated, f'running on two workers: {duplicated}'
@@ -94,7 +94,7 @@
     run_checked(deployment, 20_000)
     deployment.entry(0).is_paused = False
     run_checked(deployment, 30_000)
-    running = deployment.places_by_task()
+    running = deployment.worker_count_by_task()
     assert sum('index' in task for task in running) == 6
     assert counts(deployment, entry=1) == {'completed': 6}
 
@@ -106,10 +106,10 @@
     assert paused_agent.worker.worker.running()
     paused_agent.is_paused = paused_agent.worker.is_paused = True
     run_checked(deployment, 20_000)
-    assert sum(deployment.places_by_task().values()) == 6
+    assert sum(deployment.worker_count_by_task().values()) == 6
     paused_agent.worker.is_paused = paused_agent.is_paused = False
     run_checked(deployment, 10_000)
-    assert sum(deployment.places_by_task().values()) == 6
+    assert sum(deployment.worker_count_by_task().values()) == 6
 
 
 def test_replaced_vm_is_no_proof_that_the_old_one_stopped():
@@ -124,7 +124,7 @@
     for entry in deployment.entry_by_name.values():
         link = old.link_by_entry[entry.name]
         link.is_silent = True
-        link.heard_by_agent = float('inf')
+        link.last_received_at = float('inf')
     identity = old.core.identity
     deployment.agent_by_name[old.name] = AgentNode(
         deployment, 0, identity.zone, identity.rack, identity.capacity, 7
@@ -132,7 +132,7 @@
     run_checked(deployment, 5000)
     assert old_task_count and len(old.worker.worker.running()) == old_task_count
     run_checked(deployment, 25_000)
-    assert sum(deployment.places_by_task().values()) == 6
+    assert sum(deployment.worker_count_by_task().values()) == 6
 
 
 def test_restarted_agent_keeps_the_tasks_of_its_worker():
@@ -144,7 +144,7 @@
     deployment.restart_agent(0)
     run_checked(deployment, 20_000)
     assert history(deployment, 'start') == before
-    assert sum(deployment.places_by_task().values()) == 6
+    assert sum(deployment.worker_count_by_task().values()) == 6
 
 
 @pytest.mark.parametrize('lost_after', range(0, 3000, 250))
@@ -157,7 +157,7 @@
     submit(deployment, 8)
     deployment.run(lost_after)
     for entry in deployment.entry_by_name.values():
-        entry.store.lose_answers = 1
+        entry.store.lose_responses = 1
     run_checked(deployment, 20_000)
     assert counts(deployment) == {'completed': 8}
     ends = history(deployment, 'complete')
@@ -254,7 +254,7 @@
         assert sum(end.values()) == 2
         assert not end.keys() - {'completed', 'cancelled'}, end
     assert any('cancelled' in end for end in ends)
-    assert not deployment.places_by_task()
+    assert not deployment.worker_count_by_task()
 
 
 def test_cancel_before_the_job_was_read_and_twice():
@@ -298,7 +298,7 @@
         version = deployment.entry().core.configuration.item(key).version
         deployment.configure(key, json.dumps({'keepers': count}), 0, version)
         run_checked(deployment, 4000)
-        assert sum(deployment.places_by_task().values()) == count
+        assert sum(deployment.worker_count_by_task().values()) == count
 
 
 def test_worker_that_fails_everything_does_not_use_up_the_attempts():
@@ -369,11 +369,11 @@
     deployment.run(1000)
     deployment.table.outage = True
     run_checked(deployment, 9000)
-    assert sum(deployment.places_by_task().values()) >= 6
+    assert sum(deployment.worker_count_by_task().values()) >= 6
     run_checked(deployment, 60_000)
     deployment.table.outage = False
     run_checked(deployment, 30_000)
-    assert sum(deployment.places_by_task().values()) == 6
+    assert sum(deployment.worker_count_by_task().values()) == 6
     assert counts(deployment) == {'completed': 3}
 
 
