--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long randomised runs of the real cores, with faults and global checks."""
+"""Long random runs of the real cores with faults and global checks."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -42,7 +42,7 @@
     return parser.parse_args()
 
 
-def _quiet_run(seed, steps, go_on):
+def _run_without_log(seed, steps, go_on):
     logger.remove()
     return run_seed(seed, steps, go_on)
 
@@ -51,15 +51,15 @@
     if options.minutes is None:
         yield from range(options.seed, options.seed + options.seeds)
         return
-    end = time.monotonic() + options.minutes * 60
+    end_s = time.monotonic() + options.minutes * 60
     seed = options.seed
-    while time.monotonic() < end:
+    while time.monotonic() < end_s:
         yield seed
         seed += 1
 
 
 def _reports(options):
-    """Run with at most ``jobs`` processes, taking seeds one by one."""
+    """Yield the reports of all seeds, run in at most ``jobs`` processes."""
     seeds = _seeds(options)
     with ProcessPoolExecutor(options.jobs) as pool:
         running = set()
@@ -69,7 +69,9 @@
                 if seed is None:
                     break
                 running.add(
-                    pool.submit(_quiet_run, seed, options.steps, options.go_on)
+                    pool.submit(
+                        _run_without_log, seed, options.steps, options.go_on
+                    )
                 )
             if not running:
                 return
@@ -90,7 +92,7 @@
     )
 
 
-def _explain(report, options):
+def _print_violation(report, options):
     print(f'\nseed {report.seed} breaks: {report.detail}')
     for line in report.trace:
         print('  ' + line)
@@ -102,16 +104,16 @@
         options.shrink,
         options.go_on,
     )
-    again = run_schedule(report.seed, shrunk, options.go_on)
-    print(f'shrunk to {len(shrunk)} steps: {again.detail}')
+    shrunk_report = run_schedule(report.seed, shrunk, options.go_on)
+    print(f'shrunk to {len(shrunk)} steps: {shrunk_report.detail}')
     for step in shrunk:
         print('  ' + step.line())
-    for line in again.trace:
+    for line in shrunk_report.trace:
         print('  ' + line)
     sys.stdout.flush()
 
 
-def _log_run(options):
+def _run_with_log(options):
     logger.remove()
     logger.add(sys.stdout, format='{message}')
     try:
@@ -127,7 +129,7 @@
     """Run the seeds; return the exit code."""
     options = _parse()
     if options.log:
-        _log_run(options)
+        _run_with_log(options)
         return 0
     logger.remove()
     met, faults, checks, outcomes = Counter(), Counter(), Counter(), Counter()
@@ -167,7 +169,7 @@
         print(f'violated {count} times: {promise}')
     first_by_promise = {report.promise: report for report in reversed(broken)}
     for report in first_by_promise.values():
-        _explain(report, options)
+        _print_violation(report, options)
     return 1 if violations or broken else 0
 
 
--- a/soak/actors.py
+++ b/soak/actors.py
@@ -1,4 +1,4 @@
-"""The platform's stand-ins, observed: what they do is told to the checks."""
+"""The platform's stand-ins, which report their actions to the checks."""
 
 import zlib
 
@@ -16,12 +16,17 @@
 
 
 BACKEND_SIZE = Resources(1.0, 2.0, 0)
-_KNOWN_MS = 1500.0
-_FACTORS = (1.0, 1.0, 0.2, 1.0, 4.0)
+# An agent knows of a backend after this time.
+_ANNOUNCED_AFTER_MS = 1500.0
+_RUN_TIME_FACTORS = (1.0, 1.0, 0.2, 1.0, 4.0)
 
 
 class ObservedBackend(VirtualBackend):
-    """Tells of each run."""
+    """A backend server that reports each run.
+
+    Attributes:
+        running: Submissions that it runs now, by request id.
+    """
 
     def __init__(self, world, name, service_name, slots=4):
         super().__init__(world.loop, name, service_name, slots)
@@ -30,12 +35,15 @@
         self.up_since = self.loop.now
         self.running = {}
 
-    def is_long_up(self):
-        """Whether its agent must know of it."""
-        return not self.is_dead and self.loop.now > self.up_since + _KNOWN_MS
+    def is_known_to_agent(self):
+        """Whether its agent must have its announcement."""
+        return (
+            not self.is_dead
+            and self.loop.now > self.up_since + _ANNOUNCED_AFTER_MS
+        )
 
-    def come_up(self):
-        """The same name, a new process."""
+    def restart(self):
+        """Start a new process under the same name."""
         self.is_dead = False
         self.up_since = self.loop.now
 
@@ -43,7 +51,7 @@
         return self.name
 
     def leave(self):
-        """Announce that it is leaving, from now on."""
+        """Announce from now on that it is leaving."""
         self.is_leaving = True
         self.left_at = self.loop.now
 
@@ -59,9 +67,10 @@
             done(response)
 
         super().serve(request, timeout_ms, finish)
-        self.world.moment(submission.kind, self.agent_of())
+        self.world.trigger(submission.kind, self.agent_of())
 
     def agent_of(self):
+        """Return the agent on its VM, None if the VM is lost."""
         for agent in self.world.agents():
             if self in agent.backend_by_name.values():
                 return agent
@@ -69,7 +78,7 @@
 
 
 class ObservedCallers(VirtualCallers):
-    """Tells of each answer."""
+    """Callers that report each response."""
 
     def __init__(self, promises):
         super().__init__()
@@ -81,7 +90,7 @@
 
 
 class ObservedWorker(Worker):
-    """Tells of each start, and knows what truly runs."""
+    """A worker that reports each start."""
 
     def __init__(self, world, agent):
         super().__init__(agent.core._clock.now)
@@ -91,6 +100,7 @@
         self.capacity = agent.core.identity.capacity
 
     def running(self):
+        """Return the running tasks by id."""
         self.advance()
         return {
             task_id: task
@@ -99,32 +109,36 @@
         }
 
     def start(self, task_id, command, until, session):
-        is_here = task_id in self.running()
-        # Declared run times are far off for some tasks, either way.
-        factor = _FACTORS[zlib.crc32(task_id.encode()) % len(_FACTORS)]
+        is_running = task_id in self.running()
+        # The declared run times of some tasks are far too long or too short.
+        factor = _RUN_TIME_FACTORS[
+            zlib.crc32(task_id.encode()) % len(_RUN_TIME_FACTORS)
+        ]
         command['run_ms'] *= factor
         if not super().start(task_id, command, until, session):
             return False
         self.world.promises.check(
-            not is_here, 'no task runs in two places', f'{task_id} twice here'
+            not is_running,
+            'no task runs in two places',
+            f'{task_id} twice here',
         )
         task = self.task_by_id[task_id]
         if task['phase'] == 'running':
             self.world.promises.on_start(self.world.workers, self, task)
-            self.world.moment(command['kind'], self.world.agent_of(self))
+            self.world.trigger(command['kind'], self.world.agent_of(self))
         return True
 
     def backend_sizes(self):
-        """Sizes of the VM's backend servers that have long been up."""
+        """Return the sizes of the VM's backend servers known to its agent."""
         agent = self.world.agent_of(self)
         return [
             BACKEND_SIZE
             for backend in agent.backend_by_name.values()
-            if backend.is_long_up()
+            if backend.is_known_to_agent()
         ]
 
     def end_all(self):
-        """The VM is gone, and all that it ran."""
+        """End all tasks with the VM."""
         for task_id in self.task_by_id:
             self._log('vm-gone', task_id)
         self.task_by_id.clear()
@@ -135,9 +149,9 @@
 
 
 def classify(transaction, row):
-    """Name the kind of a commit; ``row`` gives the present documents."""
+    """Return the kind of a commit, one of ``COMMIT_TRIGGERS`` or other."""
     keys = [put.key for put in transaction.puts]
-    area_by_prefix = {
+    kind_by_prefix = {
         'shards/': 'takeover',
         'configuration/': 'configuration',
         'jobs/': 'submission',
@@ -147,18 +161,18 @@
         return _classify_chunks(transaction)
     if any('/1-cancel-' in key for key in keys):
         return 'cancellation'
-    for prefix, area in area_by_prefix.items():
+    for prefix, kind in kind_by_prefix.items():
         if any(key.startswith(prefix) for key in keys):
-            return area
+            return kind
     return 'claim' if keys else 'other'
 
 
 def _classify_chunks(transaction):
-    words = {
+    states = {
         fields[0]
         for put in transaction.puts
         if put.document and 'tasks' in put.document
         for fields in put.document['tasks']
     }
     done = {TaskState.COMPLETED.value, TaskState.FAILED.value}
-    return 'completion' if words & done else 'assignment'
+    return 'completion' if states & done else 'assignment'
--- a/soak/faults/__init__.py
+++ b/soak/faults/__init__.py
@@ -1,4 +1,4 @@
-"""Makes faults, ends them, and counts which work each one met."""
+"""Starts and ends faults, and counts the work that each one affected."""
 
 from soak.faults.made import Faults
 
--- a/soak/faults/backends.py
+++ b/soak/faults/backends.py
@@ -10,8 +10,7 @@
     if backend.is_dead:
         return None
     backend.kill()
-
-    return backend.come_up
+    return backend.restart
 
 
 def _leave(faults, agent, choices):
@@ -20,11 +19,11 @@
         return None
     backend.leave()
 
-    def come_back():
+    def stay():
         backend.is_leaving = False
         backend.left_at = None
 
-    return come_back
+    return stay
 
 
 MAKERS = {'backend-kill': _kill, 'backend-leave': _leave}
--- a/soak/faults/entries.py
+++ b/soak/faults/entries.py
@@ -1,4 +1,4 @@
-"""Faults of entries, and of the table as one entry sees it."""
+"""Faults of entries, and of their access to the table."""
 
 from soak.faults.targets import number_of, pause
 
@@ -9,6 +9,7 @@
 
 
 def kill_entry(faults, entry, choices):
+    """Crash an entry; return its restart, None if it is down."""
     number = number_of(entry)
     if not entry.is_alive:
         return None
@@ -16,21 +17,21 @@
     world.deployment.kill_entry(number)
 
     def restart():
-        fresh = world.deployment.restart_entry(number)
-        world.watch_entry(fresh)
+        restarted = world.deployment.restart_entry(number)
+        world.observe_entry(restarted)
 
     return restart
 
 
 def roll_entries(faults, entry, choices):
-    """All entries are replaced, one after the other."""
+    """Restart all entries, one after the other."""
     for order, node in enumerate(faults.world.entries()):
         faults.world.loop.later(
-            order * _ROLL_GAP_MS, _roll_one, faults, node.name, choices
+            order * _ROLL_GAP_MS, _restart_one, faults, node.name, choices
         )
 
 
-def _roll_one(faults, name, choices):
+def _restart_one(faults, name, choices):
     entry = faults.world.deployment.entry_by_name[name]
     healer = kill_entry(faults, entry, choices)
     if healer is not None:
@@ -44,15 +45,15 @@
 def _cut_table(faults, entry, choices):
     entry.store.is_cut = True
 
-    def join():
+    def reconnect():
         entry.store.is_cut = False
 
-    return join
+    return reconnect
 
 
 def _lose_answer(faults, entry, choices):
-    # Whatever this entry commits next takes effect unheard.
-    entry.lose_moment = 'any'
+    # The next commit of this entry takes effect without a response.
+    entry.lose_trigger = 'any'
 
 
 MAKERS = {
--- a/soak/faults/links.py
+++ b/soak/faults/links.py
@@ -7,7 +7,7 @@
 
 def _links_of(agent, choices):
     links = [agent.link_by_entry[name] for name in sorted(agent.link_by_entry)]
-    # Sometimes one connection, sometimes all of this VM's.
+    # All connections of this VM, or one of them.
     return links if choices[2] % 3 == 0 else links[choices[3] % 3 :][:1]
 
 
@@ -19,10 +19,10 @@
     deployment = faults.world.deployment
     deployment.blocked_pairs |= pairs
 
-    def join():
+    def reconnect():
         deployment.blocked_pairs -= pairs
 
-    return join
+    return reconnect
 
 
 def _silence(faults, agent, choices):
@@ -45,11 +45,11 @@
     for link in links:
         link.delay_ms = _DELAYS_MS[choices[3] % 3]
 
-    def hurry():
-        for late in links:
-            late.delay_ms = 0.0
+    def end_delay():
+        for link in links:
+            link.delay_ms = 0.0
 
-    return hurry
+    return end_delay
 
 
 MAKERS = {
--- a/soak/faults/made.py
+++ b/soak/faults/made.py
@@ -1,4 +1,4 @@
-"""The faults of one world: those armed, those in force, what each one met."""
+"""The faults of a world: armed and active ones, and the affected work."""
 
 from collections import Counter
 
@@ -9,8 +9,9 @@
 
 __all__ = ('Faults',)
 
-# A maker takes the faults, a target and the step's choices, and returns what
-# ends the fault, or None when it ends by itself or could not be made.
+# A maker gets the faults, a target and the step's choices. It returns a
+# function that ends the fault, or None if the fault ends by itself or could
+# not be started.
 _MAKER_BY_FAULT = {
     **entries.MAKERS,
     **table.MAKERS,
@@ -29,7 +30,12 @@
 
 
 class Faults:
-    """The faults of one world."""
+    """The faults of a world.
+
+    Attributes:
+        met: Counts by fault and kind of affected work.
+        made: Counts by fault.
+    """
 
     def __init__(self, world):
         self.world = world
@@ -38,30 +44,31 @@
         self._healers = []
         self._armed = []
         self._newest = len(world.agents())
-        world.on_moment = self._on_moment
+        world.on_trigger = self._on_trigger
 
     @property
     def active(self):
-        """How many faults are in force."""
+        """Number of faults in force."""
         return len(self._healers)
 
-    def arm(self, moment, fault, choices, span_ms):
-        """Make the fault at the next such moment, where it happens."""
-        self._armed.append((moment, fault, choices, span_ms))
+    def arm(self, trigger, fault, choices, span_ms):
+        """Start the fault at the next such event, in the same process."""
+        self._armed.append((trigger, fault, choices, span_ms))
 
     def disarm(self):
+        """Cancel the armed faults."""
         self._armed.clear()
 
-    def make(self, fault, choices, span_ms, process=None, moment=''):
-        """Bring a fault about; it ends after its span."""
+    def make(self, fault, choices, span_ms, process=None, trigger=''):
+        """Start a fault, which ends after its span."""
         targets = self._targets(fault, choices, process)
-        work = Counter({moment: 1} if moment else {})
+        work = Counter({trigger: 1} if trigger else {})
         for target in targets:
             work += self.work_at(target)
         healer = _MAKER_BY_FAULT[fault](self, targets[0], choices)
         self.world.promises.note(
             f'FAULT {fault} at {[target.name for target in targets]} '
-            f'for {span_ms:.0f} ms {"at " + moment if moment else ""}'
+            f'for {span_ms:.0f} ms {"at " + trigger if trigger else ""}'
         )
         self.made[fault] += 1
         for kind in +work:
@@ -70,26 +77,26 @@
             self.heal_later(healer, span_ms)
 
     def heal_later(self, healer, span_ms):
-        """Hold a fault in force for so long, or until all are ended."""
+        """End a fault after a time in ms, or in ``heal_all``."""
         token = [healer]
         self._healers.append(token)
         self.world.loop.later(span_ms, self._heal, token)
 
     def heal_all(self):
-        """End all faults that have not ended."""
+        """End all faults, and cancel the armed ones."""
         self.disarm()
         while self._healers:
             self._heal(self._healers[0])
         for entry in self.world.entries():
-            entry.lose_moment = None
+            entry.lose_trigger = None
 
     def new_agent_number(self):
-        """A number that no agent of this world has had."""
+        """Return an agent number that was not used in this world."""
         self._newest += 1
         return self._newest
 
     def work_at(self, process):
-        """Which kinds of work a process has under way."""
+        """Return the pending work of a process, counted by kind."""
         work = Counter()
         if process in self.world.entries():
             work += Counter(process.open_commits)
@@ -107,20 +114,24 @@
             work['batch' if is_batch else 'keeper'] += 1
         return work
 
-    def _on_moment(self, moment, process):
+    def _on_trigger(self, trigger, process):
         for armed in self._armed:
-            if armed[0] != moment:
+            if armed[0] != trigger:
                 continue
             self._armed.remove(armed)
             _, fault, choices, span_ms = armed
-            # After the present step: a process does not die within one.
+            # After the present event, as a process doesn't crash within one.
             self.world.loop.later(
-                0, self.make, fault, choices, span_ms, process, moment
+                0, self.make, fault, choices, span_ms, process, trigger
             )
             return
 
     def _targets(self, fault, choices, process):
-        """The processes hit; ``process`` where the moment came, if any."""
+        """Return the affected processes.
+
+        Args:
+            process: Where the trigger occurred, if any.
+        """
         world = self.world
         is_at_agent = process in world.agents()
         is_at_entry = process in world.entries()
--- a/soak/faults/table.py
+++ b/soak/faults/table.py
@@ -1,4 +1,4 @@
-"""Faults of the table, which all entries see."""
+"""Faults of the table, which affect all entries."""
 
 from soak.faults.entries import roll_entries
 
@@ -11,24 +11,24 @@
     table = faults.world.deployment.table
     table.outage = True
 
-    def up():
+    def restore():
         table.outage = False
 
-    return up
+    return restore
 
 
 def _slow(faults, entry, choices):
     table = faults.world.deployment.table
     table.delay_ms = _DELAYS_MS[choices[2] % 3]
 
-    def quick():
+    def end_delay():
         table.delay_ms = 0
 
-    return quick
+    return end_delay
 
 
 def _down_while_rolling(faults, entry, choices):
-    """All entries are replaced while the table is down."""
+    """Restart all entries while the table is down."""
     roll_entries(faults, entry, choices)
     return _down(faults, entry, choices)
 
--- a/soak/faults/targets.py
+++ b/soak/faults/targets.py
@@ -1,18 +1,20 @@
-"""What the makers of faults share: choosing, numbering, pausing, ending."""
+"""Helpers that several kinds of faults share."""
 
 __all__ = ('all_of', 'number_of', 'pause', 'pick')
 
 
 def pick(nodes, choice):
+    """Return the node that a choice selects."""
     return nodes[choice % len(nodes)]
 
 
 def number_of(node):
+    """Return the number in a node's name."""
     return int(node.name.rpartition('-')[2])
 
 
 def pause(world, process):
-    """Pause a process; return what resumes it, None if it did not run."""
+    """Pause a process; return its resume function, None if not running."""
     if not process.is_alive or process.is_paused:
         return None
     process.is_paused = True
@@ -25,7 +27,7 @@
 
 
 def all_of(healers):
-    """One healer that does what all of these do, in order."""
+    """Return a healer that calls these healers in order."""
 
     def heal():
         for healer in healers:
--- a/soak/faults/vms.py
+++ b/soak/faults/vms.py
@@ -1,4 +1,4 @@
-"""Faults of a VM: its agent, its worker, or the whole of it."""
+"""Faults of a VM, its agent or its worker."""
 
 from soak.faults.targets import all_of, number_of, pause
 
@@ -6,12 +6,12 @@
 
 
 def replace_vm(faults, agent, choices):
-    """The VM dies without a word; a new one takes its id."""
+    """Lose a VM without notice; a new one gets its id."""
     return _lose_vm(faults.world, agent, number_of(agent))
 
 
 def _renew_vm(faults, agent, choices):
-    """The VM dies without a word; one with a new id takes its place."""
+    """Lose a VM without notice; the new one gets a new id."""
     return _lose_vm(faults.world, agent, faults.new_agent_number())
 
 
@@ -30,10 +30,10 @@
     def replace():
         old = world.deployment.agent_by_name.pop(agent.name)
         world.deployment.agent_by_name[f'agent-{number}'] = old
-        fresh = world.deployment.restart_agent(number, keep_worker=False)
+        replacement = world.deployment.restart_agent(number, keep_worker=False)
         world.workers.remove(agent.worker.worker)
-        world.watch_agent(fresh)
-        world.add_backends(fresh)
+        world.observe_agent(replacement)
+        world.add_backends(replacement)
 
     return replace
 
@@ -68,10 +68,10 @@
     worker = agent.worker.worker
     worker.fails = True
 
-    def mend():
+    def end_failures():
         worker.fails = False
 
-    return mend
+    return end_failures
 
 
 MAKERS = {
--- a/soak/faults/zones.py
+++ b/soak/faults/zones.py
@@ -8,7 +8,7 @@
 
 
 def _die(faults, node, choices):
-    """All VMs of a zone die without a word and are replaced."""
+    """Lose all VMs of a zone without notice; they are replaced."""
     world = faults.world
     zone = node.core.identity.zone
     healers = [
@@ -25,10 +25,10 @@
 
 
 def _lose_network(faults, node, choices):
-    """A zone loses its network: connections, and the table."""
+    """Disconnect a zone from the other zones and from the table."""
     world = faults.world
     zone = node.core.identity.zone
-    here = [
+    names_in_zone = [
         other.name
         for other in world.entries() + world.agents()
         if other.core.identity.zone == zone
@@ -37,22 +37,24 @@
         (entry.name, agent.name)
         for entry in world.entries()
         for agent in world.agents()
-        if (entry.name in here) != (agent.name in here)
+        if (entry.name in names_in_zone) != (agent.name in names_in_zone)
     }
     for link in world.deployment.links:
         if (link.entry.name, link.agent.name) in pairs and link.is_open:
             link.is_silent = True
-    cut = [entry for entry in world.entries() if entry.name in here]
-    for entry in cut:
+    cut_entries = [
+        entry for entry in world.entries() if entry.name in names_in_zone
+    ]
+    for entry in cut_entries:
         entry.store.is_cut = True
     world.deployment.blocked_pairs |= pairs
 
-    def come_back():
+    def reconnect():
         world.deployment.blocked_pairs -= pairs
-        for entry in cut:
+        for entry in cut_entries:
             entry.store.is_cut = False
 
-    return come_back
+    return reconnect
 
 
 MAKERS = {'zone-dies': _die, 'zone-gone': _lose_network}
--- a/soak/ids.py
+++ b/soak/ids.py
@@ -1,4 +1,4 @@
-"""The same ids in each run of a seed."""
+"""Ids that are the same in each run of a seed."""
 
 import contextlib
 import random
@@ -12,8 +12,8 @@
 def seeded_ids(seed):
     """Draw the program's unique ids from a seed.
 
-    Ids are compared and hashed (subsets of entries, orders of rows), so with
-    ids of the system's random numbers a seed would not repeat its run.
+    Ids are compared and hashed, as in the subsets of entries and the order of
+    rows, so a seed would not repeat its run with unseeded ids.
     """
     rng = random.Random(f'ids {seed}')
 
--- a/soak/matrix.py
+++ b/soak/matrix.py
@@ -1,6 +1,6 @@
-"""The table of faults and the work that they met."""
+"""The table of faults and the kinds of work that they affected."""
 
-from soak.schedule import FAULTS, MOMENTS, PAIRS
+from soak.schedule import FAULTS, PAIRS, TRIGGERS
 
 __all__ = ('render_matrix',)
 
@@ -8,17 +8,21 @@
 
 
 def render_matrix(met, made):
-    """Return the table; ``met`` counts by (fault, kind of work).
+    """Return the table as text.
 
-    A cell of a pair that the schedule aims at and that stayed empty is shown
-    as ``NONE`` and named below.
+    An empty cell of a pair that the schedule aims at is shown as ``NONE`` and
+    listed below the table.
+
+    Args:
+        met: Counts by fault and kind of work.
+        made: Counts by fault.
     """
-    aimed = {(fault, moment) for moment, fault in PAIRS}
-    lines = [' ' * 16 + _cells('made', *(kind[:6] for kind in MOMENTS))]
+    aimed = {(fault, trigger) for trigger, fault in PAIRS}
+    lines = [' ' * 16 + _cells('made', *(kind[:6] for kind in TRIGGERS))]
     missing = []
     for fault in FAULTS:
         cells = [made[fault]]
-        for kind in MOMENTS:
+        for kind in TRIGGERS:
             count = met[fault, kind]
             is_missing = not count and (fault, kind) in aimed
             if is_missing:
--- a/soak/platform/__init__.py
+++ b/soak/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Faults from outside on the platform's real programs, drawn from a seed."""
+"""Seeded soak runs of the real programs with external faults."""
--- a/soak/platform/__main__.py
+++ b/soak/platform/__main__.py
@@ -17,11 +17,10 @@
 from soak.platform.plan import draw_plan
 from standins.programs import ROOT
 
-# Seeds that broke a promise once, with how many seconds of faults, and why. A
-# change of how plans are drawn changes what they mean: find the like of them
-# again then.
+# Seeds that failed before, with the s of faults and the reason. If the drawing
+# of plans changes, seeds with similar plans must be found.
 _LOST_VM = 'a lost VM held up all lasting tasks, from each takeover anew'
-SEEDS_AGAIN = {
+REGRESSION_SEEDS = {
     192: (12, _LOST_VM),
     2077: (13, _LOST_VM),
     60002: (45, _LOST_VM),
@@ -29,7 +28,7 @@
     61015: (45, _LOST_VM),
     64004: (32, 'an agent that left while the store failed holds up its tasks'),
 }
-# Enough for the slowest ways in which a run may go: 20 s, 70 s and 10 s.
+# Enough for the slowest startup, recovery and shutdown: 20 s, 70 s and 10 s.
 EXTRA_S = 120
 
 
@@ -57,7 +56,7 @@
 
 
 def _play(options):
-    """Play one seed in this process, which can do so once."""
+    """Play one seed; a process can do so only once."""
     from soak.platform.run import Run
 
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f'soak-{options.seed}-'))
@@ -74,9 +73,9 @@
     return int(bool(broken))
 
 
-def _play_apart(options, seed):
-    """Play one seed in a process of its own."""
-    seconds = SEEDS_AGAIN[seed][0] if options.again else options.seconds
+def _play_in_subprocess(options, seed):
+    """Play one seed in a subprocess; return its exit code."""
+    seconds = REGRESSION_SEEDS[seed][0] if options.again else options.seconds
     command = [sys.executable, '-m', 'soak.platform', '--seed', str(seed)]
     command += ['--seconds', str(seconds)]
     if options.agents is not None:
@@ -91,7 +90,7 @@
 
 def _seeds(options):
     if options.again:
-        yield from SEEDS_AGAIN
+        yield from REGRESSION_SEEDS
         return
     if options.minutes is None:
         yield from range(options.seed, options.seed + options.seeds)
@@ -104,19 +103,19 @@
 
 
 def main():
-    """Play what the arguments say; the exit code."""
+    """Play the seeds of the arguments; return the exit code."""
     options = _parse()
     if options.minutes is None and options.seeds == 1 and not options.again:
         return _play(options)
-    codes, together = [], []
+    codes, batch = [], []
     with ThreadPoolExecutor(options.jobs) as pool:
         for seed in _seeds(options):
-            together.append(seed)
-            if len(together) == options.jobs:
-                play = partial(_play_apart, options)
-                codes += pool.map(play, together)
-                together = []
-        codes += pool.map(partial(_play_apart, options), together)
+            batch.append(seed)
+            if len(batch) == options.jobs:
+                play = partial(_play_in_subprocess, options)
+                codes += pool.map(play, batch)
+                batch = []
+        codes += pool.map(partial(_play_in_subprocess, options), batch)
     print(f'{len(codes)} seeds, {len(codes) - codes.count(0)} failed')
     return int(any(codes))
 
--- a/soak/platform/callers.py
+++ b/soak/platform/callers.py
@@ -1,6 +1,6 @@
-"""Callers that hand jobs in and ask for them, and what they must see.
+"""Callers that submit jobs and poll their states, and checks of both.
 
-Each keeps its open connection to an entry until that connection ends.
+Each caller keeps its connection to an entry until the connection closes.
 """
 
 import json
@@ -22,15 +22,15 @@
 from hyssopring.jobs.model import AttemptEnd, Size
 from soak.platform.world import HOST_NAME
 
-# An entry answers within the caller's 3 s; a paused one not at all.
-PATIENCE_S = 5
-RETRY_S = 0.3
-ASK_EACH_S = 0.1
+# An entry responds within 3 s; a paused one does not respond.
+TIMEOUT_S = 5
+RETRY_INTERVAL_S = 0.3
+POLL_INTERVAL_S = 0.1
 MEMORY_MB = 100
 
 
-def nap(seconds):
-    """Return a deferred for later."""
+def sleep(seconds):
+    """Return a deferred that fires after a time in s."""
     return deferLater(reactor, seconds, lambda: None)
 
 
@@ -43,33 +43,38 @@
         self.agent = Agent(reactor, connectTimeout=1, pool=pool)
         self.host = host
         self.ports = ports
-        self.turn = first
+        self.port_index = first
 
     @inlineCallbacks
     def call(self, method, path, fields=None):
-        """Return status and body; 0 when no answer came."""
-        turn = self.turn
-        port = self.ports[turn % len(self.ports)]
+        """Return status and body; status 0 without a response."""
+        port_index = self.port_index
+        port = self.ports[port_index % len(self.ports)]
         body = json.dumps(fields).encode() if fields is not None else b''
-        asking = self.agent.request(
+        request = self.agent.request(
             method,
             f'http://{self.host}:{port}{path}'.encode(),
             Headers({'host': [HOST_NAME]}),
             FileBodyProducer(BytesIO(body)) if body else None,
         )
-        asking.addTimeout(PATIENCE_S, reactor)
+        request.addTimeout(TIMEOUT_S, reactor)
         try:
-            answer = yield asking
-            told = yield readBody(answer).addTimeout(PATIENCE_S, reactor)
+            response = yield request
+            text = yield readBody(response).addTimeout(TIMEOUT_S, reactor)
         except Exception:
-            # Whatever broke the call, another entry is tried the next time.
-            self.turn = max(self.turn, turn + 1)
+            # After any failure the next call goes to another entry.
+            self.port_index = max(self.port_index, port_index + 1)
             return 0, {}
-        return answer.code, json.loads(told)
+        return response.code, json.loads(text)
 
 
 class Callers:
-    """All callers, what they were told, and what must not have been."""
+    """All callers and the states that they received.
+
+    Attributes:
+        waiting: Ids of jobs with an open submission.
+        broken: Violations, one line each.
+    """
 
     def __init__(self, world):
         self.world = world
@@ -78,7 +83,7 @@
         self.callers = [
             Caller(world.host, ports, first) for first in range(len(ports))
         ]
-        self.turns = cycle(self.callers)
+        self.caller_cycle = cycle(self.callers)
         self.jobs = {}
         self.waiting = set()
         self.accepted = []
@@ -88,37 +93,41 @@
         self.is_over = False
 
     def start(self):
-        """Hand in what the plan says, and ask all the while."""
+        """Submit the jobs of the plan, and poll states meanwhile."""
         for job in self.world.plan.jobs:
             self.waiting.add(job.job_id)
-            reactor.callLater(job.at, self.hand_in, job)
+            reactor.callLater(job.at, self.submit, job)
         for caller in self.callers:
-            self._ask(caller)
+            self._poll_jobs(caller)
 
     @inlineCallbacks
-    def hand_in(self, job, caller=None):
-        """Try until it is accepted, or refused to one that gives up."""
+    def submit(self, job, caller=None):
+        """Retry until the job is accepted, or refused if it gives up."""
         self.waiting.add(job.job_id)
         self._expect(job)
-        caller, is_first = caller or next(self.turns), True
+        caller, is_first = caller or next(self.caller_cycle), True
         while not self.is_over:
-            told = yield caller.call(b'POST', f'/q/{job.job_id}', _body(job))
-            if self._is_settled(job, is_first, *told):
+            response = yield caller.call(
+                b'POST', f'/q/{job.job_id}', _body(job)
+            )
+            if self._is_settled(job, is_first, *response):
                 break
             is_first = False
-            yield nap(RETRY_S)
+            yield sleep(RETRY_INTERVAL_S)
         self.waiting.discard(job.job_id)
         if job.is_twice and job.job_id in self.accepted:
-            yield next(self.turns).call(b'POST', f'/q/{job.job_id}', _body(job))
+            yield next(self.caller_cycle).call(
+                b'POST', f'/q/{job.job_id}', _body(job)
+            )
 
     def open_jobs(self):
-        """What quiet has still to settle, in words."""
+        """Return one line for each job that is not accepted or completed."""
         lines = [f'{job_id} is not accepted' for job_id in self.waiting]
-        lines += [f'{each} is not completed' for each in self._live()]
+        lines += [f'{job_id} is not completed' for job_id in self._live()]
         return lines + self.keepers_down()
 
     def keepers_down(self):
-        """The accepted keepers that do not run just once."""
+        """Return a line for each accepted keeper that does not run once."""
         return [
             f'keeper {task} does not run'
             for job_id in self.accepted
@@ -128,7 +137,7 @@
         ]
 
     def check(self):
-        """Compare what ran with what callers were told; cheap."""
+        """Compare the runs with the received states; return all violations."""
         started = {row[2].partition('.')[0] for row in self.book.starts}
         for job_id in self.refused & started:
             self.broken.append(f'{job_id} was refused and has started')
@@ -162,24 +171,24 @@
 
     def _live(self):
         live = set(self.accepted) - self.completed
-        live -= {each for each in live if self.jobs[each].is_keeper}
+        live -= {job_id for job_id in live if self.jobs[job_id].is_keeper}
         return sorted(live)
 
     @inlineCallbacks
-    def _ask(self, caller):
+    def _poll_jobs(self, caller):
         number = 0
         while not self.is_over:
-            yield nap(ASK_EACH_S)
+            yield sleep(POLL_INTERVAL_S)
             if self.accepted:
                 number += 1
-                # Half of the questions are about jobs that may have ended.
-                among = number % 2 and self._live() or self.accepted
-                job_id = among[number // 2 % len(among)]
+                # Half of the requests are for jobs that are not completed.
+                candidates = number % 2 and self._live() or self.accepted
+                job_id = candidates[number // 2 % len(candidates)]
                 was_completed = job_id in self.completed
-                told = yield caller.call(b'GET', f'/q/{job_id}')
-                self._told(job_id, was_completed, *told)
+                response = yield caller.call(b'GET', f'/q/{job_id}')
+                self._on_state(job_id, was_completed, *response)
 
-    def _told(self, job_id, was_completed, status, fields):
+    def _on_state(self, job_id, was_completed, status, fields):
         state = fields.get('state')
         if status == 410 or state in {'failed', 'cancelled'}:
             self.broken.append(f'accepted {job_id} is told as {status} {state}')
@@ -195,6 +204,7 @@
 
 
 def tasks_of(job):
+    """Return the names of a job's tasks."""
     return [
         f'{job.job_id}.0.{step}.{index}'
         for step, count in enumerate(job.counts)
--- a/soak/platform/machines.py
+++ b/soak/platform/machines.py
@@ -1,49 +1,56 @@
-"""Losses of whole machines, and the calm after them, drawn from a seed.
+"""Losses of whole VMs and the stable periods after them, drawn from a seed.
 
-They have a random stream of their own, so that the other faults of a seed stay
-what they are; those that fall into a calm are left out.
+They have their own random generator, so that they don't change the other faults
+of a seed. Other faults within a stable period are omitted.
 """
 
 from dataclasses import dataclass, replace
 from itertools import count
 
-# A machine that stays away for good, in an event.
+# The duration of a permanent loss of a VM, in an event.
 FOR_GOOD = None
 AWAY_S = (5, 25)
-# After a loss of all power each process is back within this time.
+# After a power outage each process is restarted within this time.
 POWER_BACK_S = (0.5, 3)
 OWNERS_APART_S = (2, 5)
-# How long an owner that is killed takes to come back, at least and at most.
+# Minimum and maximum time until a killed owner is restarted.
 OWNER_BACK_S = (0, 4)
 STORM_S = (3, 7)
-# Long enough for a takeover, and for what waits for a VM that stays away.
+# Long enough for a takeover, and for tasks that wait for a lost VM.
 CALMS_S = ((9, 14), (20, 26))
-# Tasks that last and fail by themselves, of so many jobs.
+# Jobs of long-running tasks that fail repeatedly.
 FAILING_JOBS = 2
 FAILING_TASKS = 3
 FAILING_CPU = 200
 FAILS_MS = (3000, 15_000)
-# More agents than those that the other faults aim at.
+# Additional agents that the other faults do not target.
 MORE_AGENTS = (2, 3, 4)
 
 
 @dataclass(frozen=True)
 class Event:
-    """At ``at`` seconds ``name`` happens to all that ``target`` matches."""
+    """A fault or change.
+
+    Attributes:
+        at: Time in s since the faults began.
+        name: Kind of event.
+        target: Pattern of the names that are affected.
+        arguments: Arguments of the kind.
+    """
 
     at: float
     name: str
     target: str
-    given: tuple = ()
+    arguments: tuple = ()
 
     def __str__(self):
-        given = ' '.join(map(str, self.given))
-        return f'{self.at:6.2f} {self.name} {self.target} {given}'.rstrip()
+        arguments = ' '.join(map(str, self.arguments))
+        return f'{self.at:6.2f} {self.name} {self.target} {arguments}'.rstrip()
 
 
 @dataclass(frozen=True)
 class Fleet:
-    """The names of the programs that a loss of power ends."""
+    """The names of the programs that a power outage ends."""
 
     entries: tuple
     agents: tuple
@@ -51,7 +58,11 @@
 
 
 class Losses:
-    """Draws losses for a run; ``calms`` are the spans without other faults."""
+    """Draws losses for a run.
+
+    Attributes:
+        calms: Start and end of the periods without other faults, in s.
+    """
 
     def __init__(self, rng, fleet, seconds):
         self.rng = rng
@@ -63,39 +74,39 @@
         self.calms = []
 
     def draw(self):
-        """Draw storms, losses and calms in turn until the time is up."""
+        """Draw times with faults, losses and stable periods for the run."""
         at = 0
-        for _turn in count():
+        for _round in count():
             at += self.rng.uniform(*STORM_S)
             if at >= self.seconds:
                 return
-            begun = round(at, 2)
-            self._add(begun, 'heal', 'all')
-            at = self._series(begun + 0.1) + 0.1
+            begins_at = round(at, 2)
+            self._add(begins_at, 'heal', 'all')
+            at = self._series(begins_at + 0.1) + 0.1
             at += self.rng.uniform(*self.rng.choice(CALMS_S))
-            self.calms.append((begun, at))
+            self.calms.append((begins_at, at))
 
-    def thinned(self, others):
-        """Return all events: the others outside of the calms, if any."""
+    def merged_with(self, others):
+        """Return the losses and the other events outside stable periods."""
         if not self.has_calms:
-            own = [each for each in self.events if each.name != 'heal']
+            own = [event for event in self.events if event.name != 'heal']
             return [*others, *own]
-        kept = (self._moved(each) for each in others)
-        return [*(each for each in kept if each), *self.events]
+        kept = (self._moved(event) for event in others)
+        return [*(event for event in kept if event), *self.events]
 
     def _moved(self, event):
-        """Runners join and leave at a calm's begin, if they would within it."""
-        for begun, ended in self.calms:
-            if begun <= event.at < ended:
+        """Move a join or leave to the start of a stable period; omit faults."""
+        for begins_at, ended in self.calms:
+            if begins_at <= event.at < ended:
                 is_change = event.name in {'join', 'leave'}
-                return replace(event, at=begun) if is_change else None
+                return replace(event, at=begins_at) if is_change else None
         return event
 
-    def _add(self, at, name, target, *given):
-        self.events.append(Event(round(at, 2), name, target, given))
+    def _add(self, at, name, target, *arguments):
+        self.events.append(Event(round(at, 2), name, target, arguments))
 
     def _series(self, at):
-        """Draw machines lost, owners killed or both; return the last time."""
+        """Draw lost VMs, killed owners or both; return the last time."""
         lost = self.rng.choice([self._away, self._power, self._power])
         kind = self.rng.choice(['lost', 'owners', 'both', 'both'])
         if kind != 'owners':
@@ -110,7 +121,7 @@
         )
 
     def _away(self, at):
-        """One machine or two, apart by seconds, stay away."""
+        """Draw the loss of one or two VMs, seconds apart."""
         for agent in self.rng.sample(
             self.fleet.agents, self.rng.choice([1, 2])
         ):
@@ -119,7 +130,7 @@
         return at
 
     def _power(self, at):
-        """All is lost at once; a machine may stay away, or be replaced."""
+        """Draw a power outage; a VM may stay lost, or be replaced."""
         low, high = POWER_BACK_S
         stays = self.rng.choice(
             [None, *[self.rng.choice(self.fleet.agents)] * 2]
@@ -136,15 +147,15 @@
         return at + high
 
     def _replaced(self):
-        """One entry of a run may come back under another name."""
+        """Return an entry to restart under another name, once a run at most."""
         if self.is_replaced or self.rng.random() < 0.5:
             return ''
         self.is_replaced = True
         return self.rng.choice(self.fleet.entries[1:])
 
     def _owners(self, at):
-        for turn in range(self.rng.randint(2, 4)):
-            at += self.rng.uniform(*OWNERS_APART_S) if turn else 0
+        for index in range(self.rng.randint(2, 4)):
+            at += self.rng.uniform(*OWNERS_APART_S) if index else 0
             back = round(self.rng.uniform(*OWNER_BACK_S), 2)
             self._add(at, 'kill', self.fleet.owner, back)
         return at
--- a/soak/platform/plan.py
+++ b/soak/platform/plan.py
@@ -1,7 +1,7 @@
-"""What happens in a run, drawn from its seed before the run starts.
+"""The plan of a run, drawn from its seed before the run starts.
 
-Only the plan is decided by the seed: processes are scheduled by the machine,
-so that a seed played again meets the same faults at nearly the same moments.
+The seed determines the plan only, as the operating system schedules the
+processes: a repeated seed has the same faults at nearly the same times.
 """
 
 import random
@@ -22,36 +22,44 @@
 RUNNERS = 3
 # Runners that may leave for good; the first two always stay.
 STEADY_RUNNERS = 2
-# So many runners join in a run, each with its agent.
+# Runners that join during a run, each with its agent.
 JOINERS = 2
-# One job each so many seconds: work is always under way, and room is short.
-JOB_EACH_S = 0.9
-# One series of faults each so many seconds: they last longer and overlap.
-SERIES_EACH_S = 1.2
-# Keepers' jobs, of two keepers each, handed in before the faults begin: enough
-# for some on each runner. What runs for long is what may run twice.
+# Mean interval of jobs: some always run, and capacity is scarce.
+JOB_INTERVAL_S = 0.9
+# Mean interval of series of faults; they take longer and overlap.
+SERIES_INTERVAL_S = 1.2
+# Jobs of two keepers each, submitted before the faults begin: enough for some
+# on each runner. Long-running tasks are the likeliest to run twice.
 KEEPER_JOBS = 4
 KEEPER_CPU = 300
-# How long tasks work, in ms: most are short, some outlast most faults.
-WORKS_MS = (100, 300, 300, 800, 800, 2500, 2500, 6000)
-# An outage of the store lasted so long at most.
+# Durations of tasks: most are short, some outlast most faults.
+TASK_DURATIONS_MS = (100, 300, 300, 800, 800, 2500, 2500, 6000)
+# The longest outage of the store that was observed.
 MAX_OUTAGE_S = 9
-# In a target: the entry that owns the jobs when the event happens.
+# In a target: the entry that owns the jobs at the time of the event.
 OWNER = 'owner'
-# A runner's clock may be 2% slow.
+# Rates of the runners' clocks: some are 2% slow.
 RATES = (1, 0.98)
-# What a link of 10 and of 5 Mbit/s carries to one entry of each run.
+# Payload rates of links of 10 and 5 Mbit/s, to one entry of each run.
 NARROW_BYTES_PER_S = (700_000, 350_000)
-# In this share of the runs runners come back under their former ids.
-KEEPS_IDS = 0.5
-# How many queues a change of the configuration adds, and all of them at most.
+# Share of the runs in which restarted runners keep their ids.
+KEEPS_IDS_PROBABILITY = 0.5
+# Queues that a configuration change adds, and their maximum in all.
 MORE_QUEUES = (0, 0, 1400)
 MAX_QUEUES = 4200
 
 
 @dataclass(frozen=True)
 class PlannedJob:
-    """A job to hand in. One that gives up is not tried after a refusal."""
+    """A job to submit.
+
+    Attributes:
+        at: Time in s since the faults began.
+        counts: Number of tasks of each step.
+        gives_up: Whether the caller stops after a refusal.
+        is_twice: Whether it is submitted again after it was accepted.
+        is_failing: Whether its tasks fail repeatedly.
+    """
 
     at: float
     job_id: str
@@ -66,7 +74,13 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """All that the seed decides."""
+    """Everything that the seed determines.
+
+    Attributes:
+        rates: Clock rates of the runners.
+        narrow: The entry behind the narrow link.
+        more_agents: Number of additional agents.
+    """
 
     seed: int
     seconds: float
@@ -79,7 +93,7 @@
     keeps_ids: bool = False
 
     def lines(self):
-        """One line for each event, in their order."""
+        """Return a description, with one line for each event."""
         rates = ' '.join(map(str, self.rates))
         head = f'seed {self.seed}, {self.seconds} s, runners at rates {rates}'
         link = f'{self.bytes_per_s} bytes a second come to {self.narrow}'
@@ -88,37 +102,37 @@
         return [head, link, *map(str, self.events)]
 
     def work_ms(self, task):
-        """How long a task takes, in whatever order tasks are started."""
+        """Return a task's duration, which does not depend on other tasks."""
         rng = random.Random(f'{self.seed} {task}')
-        return rng.choice(WORKS_MS)
+        return rng.choice(TASK_DURATIONS_MS)
 
     def fail_ms(self, task, number):
-        """After how long a run of a task that can't stay up fails."""
+        """Return after how many ms a run of a failing task fails."""
         rng = random.Random(f'{self.seed} {task} {number}')
         return rng.uniform(*FAILS_MS)
 
 
 def draw_plan(seed, seconds, more_agents=None):
-    """Draw jobs and faults for so many seconds.
+    """Draw jobs and faults for a run.
 
-    Without ``more_agents`` the seed says how many there are.
+    Without ``more_agents`` the seed determines their number.
     """
     rng = random.Random(f'events {seed}')
-    rates = tuple(rng.choice(RATES) for _each in range(RUNNERS + JOINERS))
+    rates = tuple(rng.choice(RATES) for _index in range(RUNNERS + JOINERS))
     jobs = _jobs(random.Random(f'jobs {seed}'), seconds)
     links = random.Random(f'links {seed}')
-    events = tuple(_sized(each, links) for each in _events(rng, seconds))
+    events = tuple(_sized(event, links) for event in _events(rng, seconds))
     narrow = f'entry-{links.randrange(ENTRIES)}'
     rate = links.choice(NARROW_BYTES_PER_S)
     machines = random.Random(f'machines {seed}')
     drawn = machines.choice(MORE_AGENTS)
     more = drawn if more_agents is None else more_agents
-    rates += tuple(machines.choice(RATES) for _each in range(more))
+    rates += tuple(machines.choice(RATES) for _index in range(more))
     jobs += _failing_jobs(machines, seconds)
     losses = Losses(machines, _fleet(more), seconds)
     losses.draw()
-    events = _in_order(losses.thinned(events), seconds)
-    keeps = machines.random() < KEEPS_IDS
+    events = _in_order(losses.merged_with(events), seconds)
+    keeps = machines.random() < KEEPS_IDS_PROBABILITY
     return Plan(seed, seconds, rates, jobs, events, narrow, rate, more, keeps)
 
 
@@ -132,7 +146,7 @@
 
 
 def _failing_jobs(rng, seconds):
-    """Tasks that last and can't stay up, handed in at first and later."""
+    """Draw jobs of failing long-running tasks, the first one at the start."""
     return tuple(
         PlannedJob(
             round(rng.uniform(0, seconds / 2), 2) if number else 0,
@@ -147,10 +161,10 @@
 
 
 def _sized(event, rng):
-    """Some changes of the configuration add many queues."""
+    """Draw how many queues a configuration change adds."""
     if event.name != 'configure':
         return event
-    return replace(event, given=(rng.choice(MORE_QUEUES),))
+    return replace(event, arguments=(rng.choice(MORE_QUEUES),))
 
 
 def _jobs(rng, seconds):
@@ -162,7 +176,7 @@
     ]
     at = 0.0
     while at < seconds:
-        counts = tuple(rng.randint(1, 4) for _each in range(rng.randint(1, 3)))
+        counts = tuple(rng.randint(1, 4) for _index in range(rng.randint(1, 3)))
         jobs.append(
             PlannedJob(
                 round(at, 2),
@@ -174,7 +188,7 @@
                 is_malformed=rng.random() < 0.05,
             )
         )
-        at += rng.expovariate(1 / JOB_EACH_S)
+        at += rng.expovariate(1 / JOB_INTERVAL_S)
     return tuple(jobs)
 
 
@@ -182,11 +196,11 @@
     events = [*_changes_of_runners(rng, seconds)]
     at = rng.uniform(0, 1)
     while at < seconds:
-        target, moment = _processes(rng), at
-        for _each in range(rng.choice([1, 1, 1, 2, 3, 4])):
-            events.append(_event(rng, round(moment, 2), target))
-            moment += rng.uniform(0.02, 0.6)
-        at += rng.expovariate(1 / SERIES_EACH_S)
+        target, event_at = _processes(rng), at
+        for _index in range(rng.choice([1, 1, 1, 2, 3, 4])):
+            events.append(_event(rng, round(event_at, 2), target))
+            event_at += rng.uniform(0.02, 0.6)
+        at += rng.expovariate(1 / SERIES_INTERVAL_S)
     return _in_order(events, seconds)
 
 
@@ -196,7 +210,7 @@
 
 
 def _changes_of_runners(rng, seconds):
-    """Runners leave for good, after a notice, and new ones are added."""
+    """Draw runners that leave for good, after a notice, and new ones."""
     for number in range(JOINERS):
         at = round(rng.uniform(0, seconds), 2)
         yield Event(at, 'join', f'agent-{RUNNERS + number}')
@@ -206,7 +220,7 @@
 
 
 def _entry(rng):
-    """One entry, or whichever owns the jobs at that moment."""
+    """Draw one entry, or the owner of the jobs at that time."""
     return rng.choice([f'entry-{rng.randrange(ENTRIES)}', OWNER])
 
 
@@ -219,50 +233,50 @@
 
 
 def _processes(rng):
-    """One process, all entries, all agents, or an agent and an entry."""
+    """Draw one process, all entries, all agents, or an agent and an entry."""
     both = f'{_agent(rng)}+{_entry(rng)}'
     several = rng.choice(['entry-*', 'agent-*', both, both])
     return rng.choice([_process(rng), _process(rng), several])
 
 
 def _link(rng):
-    """Connections of one process to one other, to all, or from all."""
+    """Draw the connections of one process to another, to all or from all."""
     peer = rng.choice([_entry(rng), 'store'])
     process = _process(rng)
     return rng.choice([f'{process}>{peer}', f'{process}>*', f'*>{peer}'])
 
 
 def _event(rng, at, processes):
-    """Draw one fault; those of processes are the likeliest."""
-    lasts = round(rng.choice([rng.uniform(0.2, 3), rng.uniform(3, 12)]), 2)
-    back = round(rng.choice([0, rng.uniform(0.2, 5), lasts]), 2)
-    late = rng.choice([0, 0.5, 1, 4])
+    """Draw one fault; process faults are the likeliest."""
+    duration_s = round(rng.choice([rng.uniform(0.2, 3), rng.uniform(3, 12)]), 2)
+    back = round(rng.choice([0, rng.uniform(0.2, 5), duration_s]), 2)
+    late_s = rng.choice([0, 0.5, 1, 4])
     link, agent = _link(rng), _agent(rng)
     of_processes = [
         Event(at, 'term', processes, (back,)),
         Event(at, 'kill', processes, (back,)),
-        Event(at, 'pause', processes, (lasts,)),
+        Event(at, 'pause', processes, (duration_s,)),
         Event(at, 'reread', processes),
         Event(at, 'configure', 'store'),
     ]
     of_links = [
-        Event(at, 'delay', link, (rng.choice([0.02, 0.2, 0.7]), lasts)),
+        Event(at, 'delay', link, (rng.choice([0.02, 0.2, 0.7]), duration_s)),
         Event(at, 'reset', link),
-        Event(at, 'refuse', link, (lasts,)),
-        Event(at, 'hold', link, (rng.choice(['up', 'down']), lasts)),
-        Event(at, 'hold', link, ('both', lasts)),
+        Event(at, 'refuse', link, (duration_s,)),
+        Event(at, 'hold', link, (rng.choice(['up', 'down']), duration_s)),
+        Event(at, 'hold', link, ('both', duration_s)),
     ]
     of_store = [
-        Event(at, 'slow', 'store', (rng.choice([0.1, 0.8, 2]), lasts)),
-        Event(at, 'down', 'store', (min(lasts, MAX_OUTAGE_S),)),
-        Event(at, 'silent', 'store', (min(lasts, MAX_OUTAGE_S),)),
-        Event(at, 'lose-commits', 'store', (rng.randint(1, 3), late)),
+        Event(at, 'slow', 'store', (rng.choice([0.1, 0.8, 2]), duration_s)),
+        Event(at, 'down', 'store', (min(duration_s, MAX_OUTAGE_S),)),
+        Event(at, 'silent', 'store', (min(duration_s, MAX_OUTAGE_S),)),
+        Event(at, 'lose-commits', 'store', (rng.randint(1, 3), late_s)),
         Event(at, 'forget-history', 'store'),
     ]
-    orders = (rng.randint(1, 5), rng.choice([0, 0.5, 3, 9]))
+    lost_calls = (rng.randint(1, 5), rng.choice([0, 0.5, 3, 9]))
     of_runners = [
-        Event(at, 'dark', agent, (lasts,)),
-        Event(at, 'lose-orders', agent, orders),
+        Event(at, 'dark', agent, (duration_s,)),
+        Event(at, 'lose-orders', agent, lost_calls),
         Event(at, 'crash', agent),
     ]
     kinds = [of_processes, of_processes, of_links, of_store, of_runners]
--- a/soak/platform/program.py
+++ b/soak/platform/program.py
@@ -1,4 +1,4 @@
-"""One of the platform's programs as a process that is started again."""
+"""A program as a process that is restarted after each end."""
 
 import signal
 
@@ -12,24 +12,24 @@
 PROBE_TIMEOUT_S = 1
 OK = 200
 PROBER = Agent(reactor, connectTimeout=PROBE_TIMEOUT_S)
-# What a program that was ended from outside may say; it ended itself with any
-# other code. A signal that comes before its handler is set ends it too.
-ENDED_CODES = frozenset(
+# Exit codes of a program that was ended from outside; with any other code it
+# ended by itself. A signal before its handler is set ends the process as well.
+EXPECTED_EXIT_CODES = frozenset(
     (0, -signal.SIGKILL, -signal.SIGTERM, -signal.SIGHUP),
 )
 
 
 class _Ignored(Protocol):
-    """Takes the body of an answer that is not read."""
+    """Discards the body of a response."""
 
 
 class Program:
-    """One process that is started again whenever it has ended.
+    """A process that is restarted whenever it has ended.
 
     Attributes:
-        probe: A URL that answers once the process serves.
-        is_up: Whether it has served since it was started.
-        down_at: When it was last seen to have ended.
+        probe: A URL that responds with 200 once the process serves.
+        is_up: Whether it has served since its last start.
+        down_at: When its last end was detected.
     """
 
     def __init__(self, name, environment, folder, probe):
@@ -47,7 +47,7 @@
         self.down_at = 0
         self.was_alive = False
         self.is_up = False
-        self.odd_codes = set()
+        self.unexpected_exit_codes = set()
 
     @property
     def is_alive(self):
@@ -59,9 +59,9 @@
         return self.is_wanted and reactor.seconds() >= self.start_at
 
     def tick(self):
-        """Start or resume the process when that is due."""
-        now = reactor.seconds()
-        if self.resume_at is not None and now >= self.resume_at:
+        """Start or resume the process if that is due."""
+        now_s = reactor.seconds()
+        if self.resume_at is not None and now_s >= self.resume_at:
             self.resume_at = None
             self._signal(signal.SIGCONT)
         if self.is_alive:
@@ -69,73 +69,75 @@
             return
         if self.was_alive:
             self.was_alive = self.is_up = False
-            self.down_at = now
+            self.down_at = now_s
         if not self.is_due:
             return
-        self._note_end()
+        self._record_exit()
         role = self.name.partition('-')[0]
         with self.log.open('ab') as output:
             self.process = start_program(
                 ['hyssopring.platform', role], self.environment, output
             )
         self.starts += 1
-        self.started_at = now
-        self._ask(self.process)
+        self.started_at = now_s
+        self._poll(self.process)
 
     def end(self, number, back=0):
-        """Send a signal that ends it; it is started again later."""
+        """Send a signal that ends the process; restart it after ``back`` s."""
         self.start_at = max(self.start_at, reactor.seconds() + back)
         self._signal(number)
 
-    def lose(self, lasts):
-        """It ends with its machine, which stays away: for good if None."""
-        self.is_wanted = self.is_wanted and lasts is not None
-        until = reactor.seconds() + (lasts or 0)
+    def lose(self, duration_s):
+        """Kill the process with its VM, for good if ``duration_s`` is None."""
+        self.is_wanted = self.is_wanted and duration_s is not None
+        until = reactor.seconds() + (duration_s or 0)
         self.away_until = max(self.away_until, until)
-        self.end(signal.SIGKILL, lasts or 0)
+        self.end(signal.SIGKILL, duration_s or 0)
 
     def heal(self):
-        """Go on at once, or with its machine."""
+        """Resume at once, or when its VM is back."""
         self.start_at = self.away_until
         if self.resume_at is not None:
             self.resume_at = 0
 
-    def pause(self, lasts):
-        self.resume_at = max(self.resume_at or 0, reactor.seconds() + lasts)
+    def pause(self, duration_s):
+        self.resume_at = max(
+            self.resume_at or 0, reactor.seconds() + duration_s
+        )
         self._signal(signal.SIGSTOP)
 
     def reread(self):
         self._signal(signal.SIGHUP)
 
     def close(self):
-        """End it for good, at once."""
+        """Kill the process and do not restart it."""
         self.is_wanted = False
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
-    def _ask(self, process):
-        """Find out when the process serves; a frozen one is asked again."""
+    def _poll(self, process):
+        """Poll the probe until the process serves, also after timeouts."""
         if self.process is not process or not self.is_alive:
             return
-        asking = PROBER.request(b'GET', self.probe.encode())
-        asking.addTimeout(PROBE_TIMEOUT_S, reactor)
-        asking.addCallbacks(
-            lambda answer: self._answered(process, answer),
-            lambda _failure: reactor.callLater(PROBE_S, self._ask, process),
+        request = PROBER.request(b'GET', self.probe.encode())
+        request.addTimeout(PROBE_TIMEOUT_S, reactor)
+        request.addCallbacks(
+            lambda response: self._on_response(process, response),
+            lambda _failure: reactor.callLater(PROBE_S, self._poll, process),
         )
 
-    def _answered(self, process, answer):
-        answer.deliverBody(_Ignored())
-        if answer.code != OK:
-            reactor.callLater(PROBE_S, self._ask, process)
+    def _on_response(self, process, response):
+        response.deliverBody(_Ignored())
+        if response.code != OK:
+            reactor.callLater(PROBE_S, self._poll, process)
         elif self.process is process:
             self.is_up = True
 
-    def _note_end(self):
+    def _record_exit(self):
         code = self.process.returncode if self.process else 0
-        if code not in ENDED_CODES:
-            self.odd_codes.add(code)
+        if code not in EXPECTED_EXIT_CODES:
+            self.unexpected_exit_codes.add(code)
 
     def _signal(self, number):
         if self.is_alive:
--- a/soak/platform/proxy.py
+++ b/soak/platform/proxy.py
@@ -1,7 +1,7 @@
-"""A proxy on loopback whose connections can be made to misbehave.
+"""A loopback proxy that injects faults into connections.
 
-Nothing that was sent is ever left out of a connection that goes on: what is
-held comes late or the connection ends, as with real networks.
+Bytes are never dropped from a connection that stays open, as in TCP: they are
+delayed, or the connection is aborted.
 """
 
 import re
@@ -12,23 +12,26 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
 CLOSE = object()
-# What one connection puts on a narrow link at a time.
+# Largest unit that a connection sends over a narrow link.
 PIECE_BYTES = 4096
-# The first message on an inner connection names the process that dials.
+# The first message on an inner connection contains the name of its sender.
 NAME = re.compile(rb'(?:entry|agent)-\d+')
 
 
-class Weather:
-    """How the connections from one process to one other fare."""
+class LinkConditions:
+    """Faults of the connections from one process to another.
+
+    Attributes:
+        link_by_direction: Links of limited bandwidth, by direction.
+    """
 
     def __init__(self):
         self.connections = set()
-        # The link that a way's bytes share with others, by the way.
-        self.link_by_way = {}
+        self.link_by_direction = {}
         self.heal()
 
     def heal(self):
-        """Misbehave no more; what was held goes on."""
+        """End all faults and forward the delayed bytes."""
         self.delay_s = 0
         self.delayed_until = 0
         self.refused_until = 0
@@ -38,75 +41,76 @@
             connection.down.flush()
 
     @property
-    def is_foul(self):
-        """Whether connections misbehave at this moment."""
+    def is_disturbed(self):
+        """Whether a fault is in force now."""
         ends = [self.delayed_until, self.refused_until]
         return max(*ends, *self.held_until.values()) > reactor.seconds()
 
-    def delay(self, delay_s, lasts):
-        """Pass on later for a while."""
+    def delay(self, delay_s, duration_s):
+        """Delay bytes by ``delay_s`` during a time in s."""
         self.delay_s = delay_s
-        self.delayed_until = reactor.seconds() + lasts
+        self.delayed_until = reactor.seconds() + duration_s
 
-    def hold(self, way, lasts):
-        """Pass nothing on one way, or both, for a while."""
-        for each in ('up', 'down') if way == 'both' else (way,):
-            until = reactor.seconds() + lasts
-            self.held_until[each] = max(self.held_until[each], until)
+    def hold(self, direction, duration_s):
+        """Forward nothing in one direction, or both, during a time in s."""
+        held = ('up', 'down') if direction == 'both' else (direction,)
+        for name in held:
+            until = reactor.seconds() + duration_s
+            self.held_until[name] = max(self.held_until[name], until)
 
     def reset(self):
         """Abort all connections."""
         for connection in list(self.connections):
             connection.abort()
 
-    def refuse(self, lasts):
-        """Abort all connections, and new ones for a while."""
-        self.refused_until = reactor.seconds() + lasts
+    def refuse(self, duration_s):
+        """Abort all connections, and new ones during a time in s."""
+        self.refused_until = reactor.seconds() + duration_s
         self.reset()
 
-    def due(self, way, sent_at):
-        """Return when a piece is passed on."""
-        late = self.delay_s if sent_at < self.delayed_until else 0
-        return max(sent_at + late, self.held_until[way])
+    def due(self, direction, sent_at):
+        """Return when bytes sent at a time are forwarded, in s."""
+        delay_s = self.delay_s if sent_at < self.delayed_until else 0
+        return max(sent_at + delay_s, self.held_until[direction])
 
 
-class _Way:
-    """One direction of a connection: a queue of bytes and of the end."""
+class _Direction:
+    """One direction of a connection: a queue of bytes and its close."""
 
     def __init__(self, connection, name):
         self.connection = connection
         self.name = name
         self.receiver = None
-        self.waiting = deque()
-        self.turn = None
+        self.queue = deque()
+        self.next_flush = None
 
     def put(self, piece):
-        self.waiting.append((reactor.seconds(), piece))
+        self.queue.append((reactor.seconds(), piece))
         self.flush()
 
     def flush(self):
-        """Pass on what is due; look again when the next piece is."""
-        if self.turn is not None and self.turn.active():
-            self.turn.cancel()
-        while self.waiting and self.receiver is not None:
-            sent_at, piece = self.waiting[0]
-            wait = self.connection.weather.due(self.name, sent_at)
+        """Forward the pieces that are due, and schedule the next one."""
+        if self.next_flush is not None and self.next_flush.active():
+            self.next_flush.cancel()
+        while self.queue and self.receiver is not None:
+            sent_at, piece = self.queue[0]
+            wait = self.connection.conditions.due(self.name, sent_at)
             wait -= reactor.seconds()
             if wait > 0:
-                self.turn = reactor.callLater(wait, self.flush)
+                self.next_flush = reactor.callLater(wait, self.flush)
                 return
-            self.waiting.popleft()
-            self._pass_on(piece)
+            self.queue.popleft()
+            self._forward(piece)
 
     def drop(self):
-        """Nothing more is passed on: the connection was aborted."""
-        self.waiting.clear()
-        link = self.connection.weather.link_by_way.get(self.name)
+        """Discard the queued pieces of an aborted connection."""
+        self.queue.clear()
+        link = self.connection.conditions.link_by_direction.get(self.name)
         if link is not None:
             link.drop(self)
 
-    def _pass_on(self, piece):
-        link = self.connection.weather.link_by_way.get(self.name)
+    def _forward(self, piece):
+        link = self.connection.conditions.link_by_direction.get(self.name)
         if link is None:
             self._write(piece)
             return
@@ -121,22 +125,22 @@
 
 
 class _Connection:
-    """Two sockets and what waits between them."""
+    """Two sockets and the queues between them."""
 
     def __init__(self, proxy):
         self.proxy = proxy
         self.ends = []
-        self.weather = Weather()
-        self.up = _Way(self, 'up')
-        self.down = _Way(self, 'down')
-
-    def came_from(self, source):
-        """The process that dialled is known."""
-        weather = self.proxy.weather_by_source.get(source)
-        if weather is not None:
-            self.weather = weather
-            weather.connections.add(self)
-            if reactor.seconds() < weather.refused_until:
+        self.conditions = LinkConditions()
+        self.up = _Direction(self, 'up')
+        self.down = _Direction(self, 'down')
+
+    def set_source(self, source):
+        """Apply the conditions of the process that connected."""
+        conditions = self.proxy.conditions_by_source.get(source)
+        if conditions is not None:
+            self.conditions = conditions
+            conditions.connections.add(self)
+            if reactor.seconds() < conditions.refused_until:
                 self.abort()
 
     def abort(self):
@@ -162,21 +166,21 @@
 
     def dataReceived(self, data):
         connection = self.connection
-        if connection not in connection.weather.connections:
-            named = NAME.search(data)
-            source = named.group().decode() if named else ''
-            connection.came_from(connection.proxy.source or source)
+        if connection not in connection.conditions.connections:
+            match = NAME.search(data)
+            source = match.group().decode() if match else ''
+            connection.set_source(connection.proxy.source or source)
         for start in range(0, len(data), PIECE_BYTES):
             self.outgoing.put(data[start : start + PIECE_BYTES])
 
     def connectionLost(self, reason):
-        self.connection.weather.connections.discard(self.connection)
-        # What is on its way to a socket that is closed takes no link any more.
+        self.connection.conditions.connections.discard(self.connection)
+        # Bytes to a closed socket use no bandwidth.
         self.incoming.drop()
         self.outgoing.put(CLOSE)
 
 
-class _Onward(ClientFactory):
+class _TargetFactory(ClientFactory):
     """The proxy's own connection to its target."""
 
     noisy = False
@@ -192,21 +196,21 @@
 
 
 class Proxy(Factory):
-    """Passes connections on to one port; ``up`` is towards it.
+    """Forwards connections to a port; ``up`` is the direction to it.
 
-    Without a fixed ``source`` a connection's first message says who dials.
+    Without a fixed ``source``, a connection's first message identifies it.
     """
 
     noisy = False
 
-    def __init__(self, host, port, target, weather_by_source, source=''):
+    def __init__(self, host, port, target, conditions_by_source, source=''):
         self.host = host
         self.target = target
-        self.weather_by_source = weather_by_source
+        self.conditions_by_source = conditions_by_source
         self.source = source
         reactor.listenTCP(port, self, interface=host)
 
     def buildProtocol(self, addr):
         connection = _Connection(self)
-        reactor.connectTCP(self.host, self.target, _Onward(connection))
+        reactor.connectTCP(self.host, self.target, _TargetFactory(connection))
         return _End(connection, connection.up, connection.down)
--- a/soak/platform/world.py
+++ b/soak/platform/world.py
@@ -1,7 +1,7 @@
-"""The programs, the stand-in that they talk to, and what is done to them.
+"""The programs of a run, the platform's stand-in, and the faults of both.
 
-The stand-in's store and runners live in the soak's own process, so that its
-book of runs can be asked at any moment; each program is a process.
+The stand-in's store and runners are part of the soak's own process, which can
+read their record of runs at any time; each program is a process.
 """
 
 import json
@@ -26,7 +26,7 @@
     RUNNERS,
 )
 from soak.platform.program import Program
-from soak.platform.proxy import Proxy, Weather
+from soak.platform.proxy import LinkConditions, Proxy
 from standins.jobs.rows import MemoryRows
 from standins.jobs.book import Book
 from standins.jobs.worker import SimWorker
@@ -34,23 +34,23 @@
 from standins.platform import RunnerResource, StoreResource, send_heartbeats
 from standins.programs import free_ports, settings_file
 
-# Each port is drawn once, before any is listened on: none is taken twice.
-PORTS_EACH = 6
-# Comes up when another entry's machine is replaced.
+# All ports are reserved at once before use, so none is used twice.
+PORTS_PER_PROCESS = 6
+# Started when the VM of another entry is replaced.
 SPARE_ENTRY = f'entry-{ENTRIES}'
-PLACE = RowKey('op', '', 'config')
+CONFIGURATION_KEY = RowKey('op', '', 'config')
 HOST_NAME = 'h.example'
-# A keeper runs until it is stopped: far longer than any run.
+# Longer than any run: a keeper runs until it is stopped.
 KEEPER_MS = 10**9
-# Room for four or so of the larger tasks: planners have to choose.
-ROOM = Size(5000, 20_000, 0)
+# Capacity for about four of the larger tasks, so that planners must choose.
+CAPACITY = Size(5000, 20_000, 0)
 
 
 def own_host():
     """Return a loopback address that another run is unlikely to use.
 
-    Connections go out from 127.0.0.1, so that none takes a port that a
-    program which is down will want again.
+    Outgoing connections use 127.0.0.1, so that none occupies the port of a
+    program that is to be restarted.
     """
     number = os.getpid()
     return (
@@ -59,24 +59,32 @@
 
 
 class SettlingBook(Book):
-    """Ends what is over on all runners before it judges a start."""
+    """Updates all runners before it records and checks a start.
+
+    Attributes:
+        failing: Long-running tasks that fail repeatedly.
+    """
 
     def __init__(self):
         super().__init__()
         self.workers = []
-        # Tasks that last and fail by themselves.
         self.failing = set()
         self.runs_by_task = Counter()
 
     def started(self, now, worker, run):
-        for each in self.workers:
-            each.settle()
+        for runner in self.workers:
+            runner.settle()
         self.runs_by_task[run.task] += 1
         super().started(now, worker, run)
 
 
 class World:
-    """All processes of a run and the platform around them."""
+    """All processes of a run and the platform around them.
+
+    Attributes:
+        fronts: Frontend ports by the names of the current entries.
+        replaced_at: Times in s at which entries' VMs were replaced, by name.
+    """
 
     def __init__(self, plan, folder):
         self.plan = plan
@@ -87,29 +95,30 @@
             for number in range(RUNNERS + JOINERS + plan.more_agents)
         ]
         processes = ENTRIES + 1 + len(self.agents)
-        self.ports = iter(free_ports(processes * PORTS_EACH, self.host))
+        self.ports = iter(free_ports(processes * PORTS_PER_PROCESS, self.host))
         self.rows = MemoryRows(reactor)
         self.rows.version = 1
         self.version = 0
         self.queues = 0
         self.configure(0)
         self.book = SettlingBook()
-        self.weathers = {}
+        self.conditions_by_link = {}
         self.programs = {}
         self.workers = {}
-        # Where callers go, by the names of the entries that are there.
         self.fronts = {}
         self.spare_front = None
-        # Entries whose machines were replaced, and when.
         self.replaced_at = {}
         self._build()
         self.front_ports = list(self.fronts.values())
         self.link = NarrowLink(reactor, plan.bytes_per_s)
-        self._narrow(plan.narrow)
+        self._limit_bandwidth(plan.narrow)
 
     def _build(self):
         names = self.agents
-        entries = [*(f'entry-{each}' for each in range(ENTRIES)), SPARE_ENTRY]
+        entries = [
+            *(f'entry-{number}' for number in range(ENTRIES)),
+            SPARE_ENTRY,
+        ]
         inner = {name: next(self.ports) for name in entries}
         seen = {
             name: self._proxy(name, port, [*entries, *names])
@@ -133,26 +142,26 @@
             seed = seen['entry-0']
             self._program(name, seed, bind, seed, self._address(app))
 
-    def _narrow(self, entry):
-        """All that comes to an entry from processes and store shares a link."""
-        for name, weather in self.weathers.items():
+    def _limit_bandwidth(self, entry):
+        """Let all connections to an entry share the narrow link."""
+        for name, conditions in self.conditions_by_link.items():
             source, _arrow, target = name.partition('>')
             if source == entry:
-                weather.link_by_way['down'] = self.link
+                conditions.link_by_direction['down'] = self.link
             if target == entry:
-                weather.link_by_way['up'] = self.link
+                conditions.link_by_direction['up'] = self.link
 
     def _address(self, port):
         return f'{self.host}:{port}'
 
     def _proxy(self, name, port, sources):
-        """Connections to ``name`` go this way; return where they dial."""
-        weather_by_source = {source: Weather() for source in sources}
-        for source, weather in weather_by_source.items():
-            self.weathers[f'{source}>{name}'] = weather
+        """Start a proxy before a port; return the proxy's port."""
+        conditions_by_source = {source: LinkConditions() for source in sources}
+        for source, conditions in conditions_by_source.items():
+            self.conditions_by_link[f'{source}>{name}'] = conditions
         source = sources[0] if len(sources) == 1 else ''
         own = next(self.ports)
-        Proxy(self.host, own, port, weather_by_source, source)
+        Proxy(self.host, own, port, conditions_by_source, source)
         return own
 
     def _program(self, name, inner, bind, seed, app):
@@ -184,7 +193,7 @@
             name,
             self.book,
             self._work_ms,
-            ROOM,
+            CAPACITY,
             rate,
             self.plan.keeps_ids,
         )
@@ -204,25 +213,25 @@
         return self.plan.work_ms(task)
 
     def start(self):
-        """Start all but those that join later."""
+        """Start all programs except those that join later."""
         for name in self.agents[:RUNNERS] + self.agents[RUNNERS + JOINERS :]:
             self.join(name)
         for name in self.fronts:
             self.programs[name].is_wanted = True
 
     def join(self, name):
-        """A runner and its agent appear."""
+        """Start a runner and its agent."""
         worker = self.workers[name]
         if not self.programs[name].is_wanted and not worker.is_gone:
             self.programs[name].is_wanted = True
             send_heartbeats(Agent(reactor), worker, worker.control)
 
     def leave(self, name, notice):
-        """A runner says that it leaves; later it is gone with its agent."""
+        """Announce that a runner leaves; stop it and its agent after notice."""
         self.workers[name].is_leaving = True
-        reactor.callLater(notice, self._gone, name)
+        reactor.callLater(notice, self._remove, name)
 
-    def _gone(self, name):
+    def _remove(self, name):
         worker, program = self.workers[name], self.programs[name]
         worker.is_gone = True
         worker.crash()
@@ -230,32 +239,32 @@
         program.is_wanted = False
         program.end(signal.SIGTERM)
 
-    def away(self, name, lasts):
-        """Lose a machine, runner and agent: for good if ``lasts`` is None."""
+    def away(self, name, duration_s):
+        """Lose a VM, runner and agent; for good if ``duration_s`` is None."""
         worker, program = self.workers[name], self.programs[name]
         if not program.is_wanted or worker.is_gone:
             return
-        program.lose(lasts)
-        if lasts is None:
+        program.lose(duration_s)
+        if duration_s is None:
             worker.is_gone = worker.is_dark = True
             worker.crash()
         else:
-            worker.go_down(lasts)
+            worker.go_down(duration_s)
 
     def replace(self, name, back):
-        """An entry's machine is lost; another one comes in its place."""
+        """Replace the VM of an entry by another one after ``back`` s."""
         if name == SPARE_ENTRY or self.programs[SPARE_ENTRY].is_wanted:
             return
         self.programs[name].lose(None)
         self.replaced_at[name] = reactor.seconds()
-        place = self.front_ports.index(self.fronts.pop(name))
+        index = self.front_ports.index(self.fronts.pop(name))
         self.fronts[SPARE_ENTRY] = self.spare_front
-        self.front_ports[place] = self.spare_front
+        self.front_ports[index] = self.spare_front
         spare = self.programs[SPARE_ENTRY]
         spare.is_wanted, spare.start_at = True, reactor.seconds() + back
 
     def configure(self, more_queues):
-        """The operator adds queues; the first one always stays."""
+        """Add queues to the configuration; the first one is always kept."""
         self.version += 1
         self.queues = min(self.queues + more_queues, MAX_QUEUES)
         document = json.loads(a_configuration(self.version, self.queues))
@@ -269,42 +278,43 @@
             }
             for name in ('q', f'q{self.version}')
         ]
-        put = RowPut(PLACE, json.dumps(document))
+        put = RowPut(CONFIGURATION_KEY, json.dumps(document))
         self.rows.apply(Transaction((), (put,), ()))
 
     def tick(self):
-        """Look after processes, runners and the link; call often."""
+        """Update processes, runners and the link; call often."""
         self.link.tick()
         for worker in self.workers.values():
             worker.settle()
         for program in self.programs.values():
             program.tick()
 
-    def happen(self, event):
-        """Carry one event of the plan out."""
+    def apply_event(self, event):
+        """Apply an event of the plan."""
         method = getattr(self, '_do_' + event.name.replace('-', '_'), None)
         if method is not None:
-            method(*event.given)
+            method(*event.arguments)
             return
         for pattern in event.target.replace(OWNER, self.owner()).split('+'):
-            for name, thing in self._things(event.name, pattern):
-                self._to_thing(event, name, thing)
+            for name, target in self._targets(event.name, pattern):
+                self._apply_to(event, name, target)
 
     def owner(self):
-        """The entry that the store names as owner; empty between two."""
+        """Return the owner in the store, empty if there is none."""
         row = self.owner_row()
         return OwnerRow.from_text(row.text).entry_id if row else ''
 
     def owner_row(self):
+        """Return the store's row of the owner, or None."""
         return self.rows.rows.get(owner_key(0))
 
     def heal(self):
-        """All faults end; what is stopped comes back, but lost machines."""
+        """End all faults and restart all processes except on lost VMs."""
         rows = self.rows
         rows.is_down = rows.is_silent = False
         rows.slow_s = rows.lose_next = 0
-        for weather in self.weathers.values():
-            weather.heal()
+        for conditions in self.conditions_by_link.values():
+            conditions.heal()
         for worker in self.workers.values():
             worker.is_dark = worker.is_gone
             worker.lose_next = 0
@@ -312,36 +322,37 @@
             program.heal()
 
     def close(self):
+        """Kill all programs."""
         for program in self.programs.values():
             program.close()
 
-    def _things(self, name, pattern):
-        things = self.programs
+    def _targets(self, name, pattern):
+        targets = self.programs
         if name in {'delay', 'reset', 'refuse', 'hold'}:
-            things = self.weathers
+            targets = self.conditions_by_link
         elif name in {'dark', 'lose-orders', 'crash'}:
-            things = self.workers
-        return [pair for pair in things.items() if fnmatch(pair[0], pattern)]
+            targets = self.workers
+        return [pair for pair in targets.items() if fnmatch(pair[0], pattern)]
 
-    def _to_thing(self, event, name, thing):
+    def _apply_to(self, event, name, target):
         ends = {'term': signal.SIGTERM, 'kill': signal.SIGKILL}
         if event.name in ends:
-            thing.end(ends[event.name], *event.given)
+            target.end(ends[event.name], *event.arguments)
         elif event.name == 'dark':
-            self._for_a_while(thing, 'is_dark', True, *event.given)
+            self._set_temporarily(target, 'is_dark', True, *event.arguments)
         elif event.name == 'lose-orders':
-            thing.lose_next, thing.late_s = event.given
+            target.lose_next, target.late_s = event.arguments
         elif event.name in {'join', 'leave', 'away', 'replace'}:
-            getattr(self, event.name)(name, *event.given)
+            getattr(self, event.name)(name, *event.arguments)
         else:
-            getattr(thing, event.name)(*event.given)
+            getattr(target, event.name)(*event.arguments)
 
-    def _for_a_while(self, thing, name, given, lasts):
-        setattr(thing, name, given)
-        reactor.callLater(lasts, self._back, thing, name)
+    def _set_temporarily(self, target, name, setting, duration_s):
+        setattr(target, name, setting)
+        reactor.callLater(duration_s, self._reset, target, name)
 
-    def _back(self, thing, name):
-        setattr(thing, name, getattr(thing, 'is_gone', False))
+    def _reset(self, target, name):
+        setattr(target, name, getattr(target, 'is_gone', False))
 
     def _do_heal(self):
         self.heal()
@@ -349,14 +360,14 @@
     def _do_configure(self, more_queues):
         self.configure(more_queues)
 
-    def _do_slow(self, slow_s, lasts):
-        self._for_a_while(self.rows, 'slow_s', slow_s, lasts)
+    def _do_slow(self, slow_s, duration_s):
+        self._set_temporarily(self.rows, 'slow_s', slow_s, duration_s)
 
-    def _do_down(self, lasts):
-        self._for_a_while(self.rows, 'is_down', True, lasts)
+    def _do_down(self, duration_s):
+        self._set_temporarily(self.rows, 'is_down', True, duration_s)
 
-    def _do_silent(self, lasts):
-        self._for_a_while(self.rows, 'is_silent', True, lasts)
+    def _do_silent(self, duration_s):
+        self._set_temporarily(self.rows, 'is_silent', True, duration_s)
 
     def _do_lose_commits(self, count, late_s):
         self.rows.lose_next, self.rows.late_s = count, late_s
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,7 +1,7 @@
-"""What must hold in the whole deployment, checked as it happens.
+"""Invariants of the whole deployment, checked at each event.
 
-The checks see what no process sees: every run on every backend server, every
-start on every worker, every row of the table and every caller's answer.
+Unlike any process, the checks observe each run on each backend server, each
+start on each worker, each row of the table and each caller's response.
 """
 
 from collections import Counter, deque
@@ -19,7 +19,7 @@
 
 
 class Violation(AssertionError):
-    """A promise was broken; the run ends here."""
+    """A promise was broken, which ends the run."""
 
     def __init__(self, promise, subject):
         super().__init__(f'{promise}: {subject}')
@@ -27,7 +27,7 @@
 
 
 class Submission:
-    """One request of a caller, and what became of it."""
+    """A request of a caller, with its runs and its response."""
 
     def __init__(self, body, service, key, entry, deadline, is_resubmission):
         self.body = body
@@ -49,7 +49,14 @@
 
 
 class Promises:
-    """Counts checks; the first broken promise raises."""
+    """Checks promises and counts the checks.
+
+    Attributes:
+        go_on: Promises whose violations are counted and don't end the run.
+        broken: Violations by promise.
+        checks: Checks by promise.
+        trace: The last events, as lines.
+    """
 
     def __init__(self, loop, go_on=()):
         self.loop = loop
@@ -66,13 +73,17 @@
         self.outcomes = Counter()
 
     def note(self, line):
-        """Keep a line for the trace of a violation."""
+        """Add a line to the trace."""
         self.trace.append(f'{self.loop.now:10.1f} {line}')
 
-    def check(self, holds, promise, subject):
-        """Count one check, and stop the run if it fails."""
+    def check(self, is_kept, promise, subject):
+        """Count a check.
+
+        Raises:
+            Violation: If it fails and its promise isn't in ``go_on``.
+        """
         self.checks[promise] += 1
-        if holds:
+        if is_kept:
             return
         self.broken[promise] += 1
         self.note(f'VIOLATION {promise}: {subject}')
@@ -82,11 +93,12 @@
     # Requests.
 
     def on_submit(self, request_id, submission):
+        """Record a request of a caller."""
         self.submission_by_body[submission.body] = submission
         self.submission_by_request[request_id] = submission
 
     def on_run(self, backend, request):
-        """A backend server begins to run a request."""
+        """Check the start of a request on a backend server."""
         submission = self.submission_by_body[request.body]
         submission.runs += 1
         self.note(f'run {request.body!r} as {request.request_id} on {backend}')
@@ -113,7 +125,7 @@
         return submission
 
     def on_answer(self, request_id, answer):
-        """A caller gets an answer."""
+        """Check the response to a caller."""
         submission = self.submission_by_request.get(request_id)
         self.check(
             submission is not None and submission.answer is None,
@@ -126,20 +138,20 @@
         self.note(f'answer {submission.body!r} {kind}')
         self._check_not_run(submission)
         if answer.failure is None:
-            self._check_whole(submission, answer)
+            self._check_body(submission, answer)
 
     def _check_not_run(self, submission):
         answer = submission.answer
         if answer is None or answer.failure is None:
             return
-        told = answer.failure.answer.run_state
+        run_state = answer.failure.answer.run_state
         self.check(
-            told is not RunState.NOT_RUN or not submission.runs,
+            run_state is not RunState.NOT_RUN or not submission.runs,
             'what is said not to have run did not run',
             f'{submission.body!r} {answer.failure}',
         )
 
-    def _check_whole(self, submission, answer):
+    def _check_body(self, submission, answer):
         ran = answer.body.removeprefix(b'echo:')
         source = self.submission_by_body.get(ran)
         is_own = source is submission
@@ -162,7 +174,7 @@
     # Tasks.
 
     def on_start(self, workers, worker, task):
-        """A worker begins to run a task."""
+        """Check the start of a task on a worker."""
         task_id = task['task_id']
         self.note(
             f'start {task_id} attempt {task["attempt"]} on {worker.name} '
@@ -205,7 +217,7 @@
         )
 
     def on_chunk(self, key, document):
-        """A row of tasks is written."""
+        """Check a written row of tasks."""
         if document is None:
             return
         for task in _tasks_of(key, document):
@@ -232,9 +244,9 @@
     # Configuration.
 
     def on_accepted(self, entry, key, version, document):
-        """An operator was told that a change is accepted.
+        """Check the acceptance of an operator's change.
 
-        An entry may take several changes into one version; no other entry
+        An entry may accept several changes in one version; no other entry
         and no other change of the same item may get that version.
         """
         self.note(f'accepted {key} at {version}')
@@ -248,7 +260,7 @@
         accepted[key] = (entry, document)
 
     def check_version(self, node):
-        """No process steps back; ``node`` is one run of a process."""
+        """Check that no incarnation of a process goes to an older version."""
         state = node.core.configuration
         before = self.version_by_process.get(node, 0)
         if state.version != before:
@@ -260,7 +272,7 @@
             self.version_by_process[node] = state.version
 
     def check_in_force(self, nodes, upto):
-        """All accepted changes up to a version are in force everywhere."""
+        """Check that all changes up to a version are in force everywhere."""
         newest_by_key = {}
         for version, accepted in sorted(self.accepted_by_version.items()):
             for key, (_, document) in accepted.items():
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: rounds of work and faults, each healed, drained and checked."""
+"""A run: rounds of work and faults, after each of which all work must end."""
 
 import json
 import time
@@ -16,7 +16,7 @@
 __all__ = ('Run', 'RunReport', 'run_schedule', 'run_seed', 'shrink')
 
 _IN_FORCE_MS = 3000.0
-# Work drains while it moves: a long queue may take its time.
+# Draining fails if no task ends for this time; a long queue may take longer.
 _STUCK_MS = 90_000.0
 _DRAIN_MS = 900_000.0
 _DRAIN_STEP_MS = 500.0
@@ -26,7 +26,7 @@
 
 @dataclass
 class RunReport:
-    """What a run did, and the promise that it broke, if any."""
+    """The figures of a run, and the promise that it broke, if any."""
 
     seed: int
     steps: int = 0
@@ -54,7 +54,7 @@
         self.next_document = 0
 
     def go(self, schedule):
-        """Do all rounds of a schedule; rounds without steps are left out."""
+        """Run all rounds of a schedule that have steps."""
         self.world.start()
         for number in sorted({step.round_number for step in schedule}):
             self._round(
@@ -70,26 +70,28 @@
         self.settle()
 
     def wait(self, millis):
-        """Let time pass, in which no request may outlive its deadline."""
+        """Advance the clock by ms and check the deadlines of requests."""
         while millis > 0:
             self.loop.run(min(millis, _DRAIN_STEP_MS))
             self._check_deadlines()
             millis -= _DRAIN_STEP_MS
 
     def settle(self):
-        """End all faults, and see that everything comes to its end."""
+        """End all faults and check that all work ends."""
         self.faults.heal_all()
         self.promises.note('--- healed')
         self._drain()
 
     def do(self, step):
-        """Do one step now."""
+        """Execute a step now."""
         world = self.world
         entry = world.entries()[step.choices[0] % len(world.entries())]
         if step.action == 'call':
-            service, key, took = step.words
+            service, key, duration_ms = step.words
             team = 'viva' if service == 'lookup' else 'trust'
-            world.call(entry, f'{team}/{service}', key, took, step.span_ms)
+            world.call(
+                entry, f'{team}/{service}', key, duration_ms, step.span_ms
+            )
         elif step.action == 'job':
             job_id, template, tasks = step.words
             world.job(entry, job_id, template, int(tasks))
@@ -118,14 +120,16 @@
             self.world.change(entry, key, expected, json.dumps(document))
         upto = max(self.promises.accepted_by_version)
         if not self.faults.active:
-            self.loop.later(_IN_FORCE_MS, self._check_calm, upto, self._calm())
+            self.loop.later(
+                _IN_FORCE_MS, self._check_in_force, upto, self._fault_count()
+            )
 
-    def _calm(self):
+    def _fault_count(self):
         return sum(self.faults.made.values())
 
-    def _check_calm(self, upto, made_before):
-        """No fault since the change: it is in force everywhere."""
-        if self.faults.active or self._calm() != made_before:
+    def _check_in_force(self, upto, faults_before):
+        """Check that a change is in force, unless a fault came after it."""
+        if self.faults.active or self._fault_count() != faults_before:
             return
         self.promises.check_in_force(self._live(), upto)
 
@@ -146,33 +150,33 @@
             )
 
     def _drain(self):
-        """All work ends, and every change is in force, once all is well."""
-        # A connection that went silent late is found and dialled anew first.
+        """Check that without faults all work ends and changes are in force."""
+        # A silent connection must be detected and replaced first.
         upto = max(self.promises.accepted_by_version)
         self.loop.run(_IN_FORCE_MS + 3000)
         self.promises.check_in_force(self._live(), upto)
         for job_id, (template, _, _) in self.world.jobs.items():
             if template == 'huge':
                 self.world.cancel(self.world.entries()[0], job_id)
-        why = self._unfinished()
-        moved_at = began = self.loop.now
-        ended = self._ended()
-        while why and self.loop.now < moved_at + _STUCK_MS:
+        unfinished = self._unfinished()
+        progress_at = began_at = self.loop.now
+        ended = self._ended_count()
+        while unfinished and self.loop.now < progress_at + _STUCK_MS:
             self.wait(_DRAIN_STEP_MS)
-            why = self._unfinished()
-            if self._ended() != ended:
-                ended = self._ended()
-                moved_at = min(self.loop.now, began + _DRAIN_MS)
-        self.promises.check(not why, 'everything drains', why)
-        self._check_quiet()
-
-    def _ended(self):
+            unfinished = self._unfinished()
+            if self._ended_count() != ended:
+                ended = self._ended_count()
+                progress_at = min(self.loop.now, began_at + _DRAIN_MS)
+        self.promises.check(not unfinished, 'everything drains', unfinished)
+        self._check_leaks()
+
+    def _ended_count(self):
         return sum(
             task.state in _FINAL for task in self.promises.task_by_id.values()
         )
 
     def _unfinished(self):
-        """Say what has not ended yet, or nothing."""
+        """Return a description of unfinished work, empty if there is none."""
         for entry in self.world.entries():
             if entry.core.router.pending:
                 return f'{entry.name}: {entry.core.router.pending} pending'
@@ -211,7 +215,7 @@
         return ''
 
     def _leftovers(self):
-        """What still runs or is reserved although nothing needs it."""
+        """Return a description of tasks or reservations that should be gone."""
         for agent in self.world.agents():
             running = agent.worker.worker.running()
             extra = [name for name in running if not name.startswith('keeper')]
@@ -225,8 +229,8 @@
                 return f'{agent.name} reserves {tasks}, runs {set(running)}'
         return ''
 
-    def _check_quiet(self):
-        """No slot, no queue place and no count has leaked."""
+    def _check_leaks(self):
+        """Check that no slot, queue place or count has leaked."""
         for agent in self.world.agents():
             for report in agent.core.backends.reports():
                 self.promises.check(
@@ -245,7 +249,7 @@
         self._check_answers()
 
     def _check_answers(self):
-        """Whoever asked an entry that lived on was answered."""
+        """Check that all requests to entries that still live have responses."""
         live = self.world.entries()
         for submission in self.promises.submission_by_body.values():
             if submission.entry in live and submission.answer is None:
@@ -256,7 +260,10 @@
 
 
 def run_schedule(seed, schedule, go_on=()):
-    """Run a schedule and report; promises in ``go_on`` are only counted."""
+    """Run a schedule; return a report.
+
+    Violations of promises in ``go_on`` are only counted.
+    """
     with seeded_ids(seed):
         return _run_schedule(seed, schedule, go_on)
 
@@ -290,12 +297,12 @@
 
 
 def run_seed(seed, steps, go_on=()):
-    """Draw a seed's schedule and run it."""
+    """Run the schedule of a seed; return a report."""
     return run_schedule(seed, draw_schedule(seed, steps), go_on)
 
 
 def shrink(seed, schedule, promise, tries=120, go_on=()):
-    """Delete steps for as long as the same promise is broken."""
+    """Return a shorter schedule that breaks the same promise."""
     size = max(len(schedule) // 2, 1)
     while tries > 0:
         index = 0
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,7 +1,7 @@
-"""What a run will do, drawn whole from the seed before it starts.
+"""The schedule of a run, drawn from its seed before it starts.
 
-Each step carries all that it needs, so a schedule can be shrunk by deleting
-steps; what is left still happens at the same times, to the same targets.
+Each step contains its own times and targets, so a schedule can be shrunk by
+deleting steps without changing the others.
 """
 
 import random
@@ -9,9 +9,9 @@
 
 __all__ = (
     'FAULTS',
-    'MOMENTS',
     'PAIRS',
     'Step',
+    'TRIGGERS',
     'draw_schedule',
 )
 
@@ -20,7 +20,7 @@
 ENTRIES = 3
 AGENTS = 5
 
-# Faults that hit one process, or the table as one entry sees it.
+# Faults of an entry, or of its access to the table.
 ENTRY_FAULTS = ('entry-kill', 'entry-pause', 'table-cut', 'lose-answer')
 VM_FAULTS = (
     'agent-kill',
@@ -43,8 +43,8 @@
 )
 FAULTS = ENTRY_FAULTS + VM_FAULTS + BACKEND_FAULTS + LINK_FAULTS + WIDE_FAULTS
 
-# Moments that a fault can be set to wait for, with the faults that suit it.
-COMMIT_MOMENTS = (
+# Triggers that an armed fault can wait for, with the faults of each.
+COMMIT_TRIGGERS = (
     'renewal',
     'takeover',
     'submission',
@@ -54,35 +54,35 @@
     'configuration',
     'claim',
 )
-RUN_MOMENTS = ('idempotent', 'non-idempotent', 'keyed', 'resubmitted')
-TASK_MOMENTS = ('batch', 'keeper')
-MOMENTS = COMMIT_MOMENTS + RUN_MOMENTS + TASK_MOMENTS
+RUN_TRIGGERS = ('idempotent', 'non-idempotent', 'keyed', 'resubmitted')
+TASK_TRIGGERS = ('batch', 'keeper')
+TRIGGERS = COMMIT_TRIGGERS + RUN_TRIGGERS + TASK_TRIGGERS
 _AT_ENTRY = ENTRY_FAULTS + ('table-down', 'table-slow', 'roll-entries')
 _AT_RUN = VM_FAULTS + BACKEND_FAULTS + LINK_FAULTS + ('entry-kill',)
 _AT_TASK = VM_FAULTS + LINK_FAULTS + ('entry-kill', 'worker-fails')
 PAIRS = tuple(
-    (moment, fault)
-    for moments, faults in (
-        (COMMIT_MOMENTS, _AT_ENTRY),
-        (RUN_MOMENTS, _AT_RUN),
-        (TASK_MOMENTS, _AT_TASK),
+    (trigger, fault)
+    for triggers, faults in (
+        (COMMIT_TRIGGERS, _AT_ENTRY),
+        (RUN_TRIGGERS, _AT_RUN),
+        (TASK_TRIGGERS, _AT_TASK),
     )
-    for moment in moments
+    for trigger in triggers
     for fault in faults
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that happens.
+    """A step of a schedule.
 
     Attributes:
         round_number: Rounds end with all faults healed and a drain.
         at_ms: Since the round began.
         action: A workload action, ``fault``, or ``arm``.
-        choices: Numbers that pick targets, taken modulo what there is.
-        words: Names that the action needs.
-        span_ms: How long a fault lasts, or a request may take.
+        choices: Numbers that select targets, modulo the number of targets.
+        words: Arguments of the action.
+        span_ms: Duration of a fault, or timeout of a request.
     """
 
     round_number: int
@@ -93,7 +93,7 @@
     span_ms: float = 0
 
     def line(self):
-        """Say it in one line."""
+        """Return a description in one line."""
         return (
             f'round {self.round_number} +{self.at_ms:.0f} ms {self.action} '
             f'{" ".join(self.words)} choices={self.choices} '
@@ -101,13 +101,13 @@
         )
 
 
-class _Drawing:
+class _ScheduleGenerator:
     def __init__(self, seed):
         self.rng = random.Random(f'schedule {seed}')
         self.keys = 0
         self.jobs = 0
-        # Each pair of moment and fault comes once before any comes again, so
-        # that the cells of the matrix fill evenly.
+        # All pairs of trigger and fault are drawn once before any is drawn
+        # again, so that the cells of the matrix are covered evenly.
         self.pairs = []
 
     def step(self, round_number):
@@ -170,8 +170,8 @@
 
 def draw_schedule(seed, steps):
     """Return the steps of a run, in order of time within each round."""
-    drawing = _Drawing(seed)
+    generator = _ScheduleGenerator(seed)
     return sorted(
-        (drawing.step(number // STEPS_PER_ROUND) for number in range(steps)),
+        (generator.step(number // STEPS_PER_ROUND) for number in range(steps)),
         key=lambda step: (step.round_number, step.at_ms),
     )
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""A virtual deployment under observation, and the work that it is given."""
+"""An observed virtual deployment, and its workload."""
 
 import json
 from collections import Counter
@@ -46,24 +46,26 @@
     'trust/huge': {},
     'viva/index': {'keepers': KEEPERS},
 }
-# Short leases, so that many lapse in a run; the proportions are the
-# product's own. Every other seed runs with the product's times.
+# Short leases, so that many expire in a run, in the proportions of the default
+# ones. Every other seed uses the default leases.
 _SHORT_SHARDS = ShardSettings(shards=4, lease_ms=3000, takeover_ms=4000)
 _SHORT_LEASES = LeaseTimes(batch_ttl_ms=4000, keeper_ttl_ms=8000, margin_ms=500)
-_RATES = (0.98, 0.99, 1.0, 1.01, 1.02)
+_CLOCK_RATES = (0.98, 0.99, 1.0, 1.01, 1.02)
 
 
 class _SoakDeployment(VirtualDeployment):
-    """Clocks run at rates that the seed and the name give."""
+    """A deployment whose clocks run at rates by seed and name."""
 
     def clock_of(self, name):
         number = int(name.rpartition('-')[2])
-        self.rate_by_name[name] = _RATES[(self.seed + number) % len(_RATES)]
+        self.rate_by_name[name] = _CLOCK_RATES[
+            (self.seed + number) % len(_CLOCK_RATES)
+        ]
         return super().clock_of(name)
 
 
 class World:
-    """The deployment, the work under way, and the promises."""
+    """The deployment, its pending work, and the promises."""
 
     def __init__(self, seed, go_on=()):
         is_short = seed % 2 == 0
@@ -84,12 +86,12 @@
         self.submissions = 0
         self.open_commits = Counter()
         self.seen_keys = set()
-        self.on_moment = None
-        self._watch_table()
+        self.on_trigger = None
+        self._observe_table()
         for entry in self.entries():
-            self.watch_entry(entry)
+            self.observe_entry(entry)
         for agent in self.agents():
-            self.watch_agent(agent)
+            self.observe_agent(agent)
             self.add_backends(agent)
         self.loop.on_step = self._on_step
 
@@ -117,40 +119,40 @@
 
     # Observation.
 
-    def watch_entry(self, entry):
-        """Observe an entry that has just been made."""
+    def observe_entry(self, entry):
+        """Observe a new entry."""
         entry.callers = ObservedCallers(self.promises)
         _replace_callers(entry.core, entry.callers)
         entry.resumed_at = 0.0
         store = entry.store
         commit = store.commit
         entry.open_commits = Counter()
-        entry.lose_moment = None
+        entry.lose_trigger = None
 
         def observed(transaction, done):
-            area = classify(transaction, self.deployment.table.row)
-            entry.open_commits[area] += 1
+            kind = classify(transaction, self.deployment.table.row)
+            entry.open_commits[kind] += 1
 
             def finish(answer):
-                entry.open_commits[area] -= 1
+                entry.open_commits[kind] -= 1
                 done(answer)
 
             commit(transaction, finish)
-            self.moment(area, entry)
+            self.trigger(kind, entry)
 
         def is_response_lost(transaction):
-            area = classify(transaction, self.deployment.table.row)
-            is_lost = entry.lose_moment in {area, 'any'}
+            kind = classify(transaction, self.deployment.table.row)
+            is_lost = entry.lose_trigger in {kind, 'any'}
             if is_lost:
-                entry.lose_moment = None
-                self.promises.note(f'{entry.name}: answer to {area} lost')
+                entry.lose_trigger = None
+                self.promises.note(f'{entry.name}: answer to {kind} lost')
             return is_lost
 
         store.commit = observed
         store.is_response_lost = is_response_lost
 
-    def watch_agent(self, agent):
-        """Observe an agent that has just been made, with a new worker."""
+    def observe_agent(self, agent):
+        """Observe a new agent and give it an observed worker."""
         agent.worker.worker = ObservedWorker(self, agent)
         self.workers.append(agent.worker.worker)
 
@@ -161,12 +163,12 @@
             name = f'{service}-{self.backends}'
             agent.add_backend(ObservedBackend(self, name, service))
 
-    def moment(self, kind, process):
-        """Something happened that a fault may be waiting for."""
-        if self.on_moment is not None and process is not None:
-            self.on_moment(kind, process)
+    def trigger(self, kind, process):
+        """Report an event that an armed fault may wait for."""
+        if self.on_trigger is not None and process is not None:
+            self.on_trigger(kind, process)
 
-    def _watch_table(self):
+    def _observe_table(self):
         table = self.deployment.table
         commit = table.commit
 
@@ -188,8 +190,8 @@
 
     # Work.
 
-    def call(self, entry, service, key, took, budget_ms):
-        """Submit one request through an entry, as its caller."""
+    def call(self, entry, service, key, duration_ms, budget_ms):
+        """Submit a request to an entry."""
         if not entry.is_alive:
             return
         self.submissions += 1
@@ -201,24 +203,27 @@
         self.seen_keys.add(key)
         self.promises.on_submit(request_id, submission)
         if is_again:
-            self.moment('resubmitted', self._runner_of(key) or entry)
+            self.trigger('resubmitted', self._runner_of(key) or entry)
         self.promises.note(f'submit {body!r} at {entry.name}')
         entry.deliver(
             self._submit,
             entry,
             request_id,
             service,
-            f'/?ms={took}',
+            f'/?ms={duration_ms}',
             body,
             budget_ms,
             key,
         )
 
     def _runner_of(self, key):
-        """The agent on whose VM a copy under this key runs now."""
+        """Return the agent on whose VM a request with this key runs now."""
         for agent in self.agents():
             for backend in agent.backend_by_name.values():
-                if any(one.key == key for one in backend.running.values()):
+                if any(
+                    submission.key == key
+                    for submission in backend.running.values()
+                ):
                     return agent
         return None
 
@@ -268,17 +273,17 @@
         entry.deliver(keeper.change, change, done)
 
     def version_of(self, entry, key):
-        """What an operator sees of an item at an entry."""
+        """Return the version of an item at an entry, 0 without the item."""
         item = entry.core.configuration.item(key)
         return item.version if item else 0
 
 
 def _replace_callers(core, callers):
-    """Give the observed callers to whichever part answers."""
+    """Replace the callers in all parts of a core."""
     seen = set()
-    waiting = [core.router]
-    while waiting:
-        part = waiting.pop()
+    parts = [core.router]
+    while parts:
+        part = parts.pop()
         if id(part) in seen or not hasattr(part, '__dict__'):
             continue
         seen.add(id(part))
@@ -286,4 +291,4 @@
             if name in {'callers', '_callers'}:
                 setattr(part, name, callers)
             elif type(member).__module__.startswith('hyssopring.entry'):
-                waiting.append(member)
+                parts.append(member)
--- a/standins/narrow_link.py
+++ b/standins/narrow_link.py
@@ -18,6 +18,7 @@
 from twisted.web.client import ResponseDone
 
 TICK_INTERVAL_S = 0.01
+# Largest unit that a connection sends over the link.
 PACKET_BYTES = 16 * 1024
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Set-ups that several tests share."""
+"""Helpers that several tests share."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def booking_deployment(idempotent=False, **options):
-    """A virtual deployment with one backend of trust/booking per agent."""
+    """Return a deployment with a backend of trust/booking per agent."""
     deployment = VirtualDeployment(**options)
     for number, agent in enumerate(deployment.agent_by_name.values()):
         agent.add_backend(
@@ -29,7 +29,7 @@
 
 
 def runs_of(deployment, *request_ids):
-    """How often backend servers ran these requests, in all."""
+    """Return the total number of runs of these requests."""
     return sum(
         backend.runs_by_request[request_id]
         for agent in deployment.agent_by_name.values()
@@ -39,7 +39,7 @@
 
 
 def ran_at(deployment, request_id):
-    """The agents where a request ran."""
+    """Return the agents where a request ran."""
     return [
         agent
         for agent in deployment.agent_by_name.values()
@@ -49,8 +49,8 @@
 
 
 def kind_of(deployment, request_id):
-    """The error kind that a request ended with, None without an answer."""
-    answer = deployment.answer(request_id)
-    if answer is None:
+    """Return the error kind of a response, None without a response."""
+    response = deployment.answer(request_id)
+    if response is None:
         return None
-    return answer.failure.kind.value if answer.failure else 'none'
+    return response.failure.kind.value if response.failure else 'none'
--- a/tests/test_random_runs.py
+++ b/tests/test_random_runs.py
@@ -88,11 +88,11 @@
 
 
 def test_cells_that_were_never_met_are_named():
-    moment, fault = PAIRS[0]
+    trigger, fault = PAIRS[0]
     met = {(other_fault, other): 1 for other, other_fault in PAIRS}
-    met[fault, moment] = 0
+    met[fault, trigger] = 0
     table = render_matrix(_Zero(met), _Zero())
-    assert f'never met: {fault} x {moment}' in table
+    assert f'never met: {fault} x {trigger}' in table
 
 
 class _Zero(dict):
--- a/tests/test_soak_platform.py
+++ b/tests/test_soak_platform.py
@@ -1,4 +1,4 @@
-"""The fault soak of the platform's programs: a short run, and its parts."""
+"""The soak of the platform's programs: short runs, and its parts."""
 
 import random
 import re
@@ -75,13 +75,13 @@
     callers = _callers()
     callers.accepted += ['a', 'b']
     assert len(callers.open_jobs()) == 3
-    callers._told('a', False, 200, {'state': 'completed'})
+    callers._on_state('a', False, 200, {'state': 'completed'})
     assert len(callers.open_jobs()) == 2
     assert len(callers.check()) == 1
-    callers._told('a', True, 200, {'state': 'active'})
-    callers._told('a', True, 410, {})
-    callers._told('a', True, 503, {})
-    callers._told('b', False, 200, {'state': 'failed'})
+    callers._on_state('a', True, 200, {'state': 'active'})
+    callers._on_state('a', True, 410, {})
+    callers._on_state('a', True, 503, {})
+    callers._on_state('b', False, 200, {'state': 'failed'})
     assert len(callers.broken) == 4
 
 
@@ -99,7 +99,7 @@
 
 
 def test_losses_of_machines_leave_other_faults_as_they_are():
-    """Guards old seeds: their faults outside of a calm must not change."""
+    """Guard old seeds: losses must not change the drawing of other faults."""
     seeds = [seed for seed in range(40) if 'heal' not in _names(seed)]
     assert seeds
     for seed in seeds:
@@ -108,14 +108,14 @@
         for _each in range(RUNNERS + JOINERS):
             rng.choice(RATES)
         drawn = _events(rng, 30)
-        others = [each for each in _told(seed) if each not in losses]
+        others = [each for each in _planned_events(seed) if each not in losses]
         assert [each[:2] for each in others] == [
             (each.at, each.name) for each in drawn
         ]
 
 
 def test_calm_follows_losses():
-    """Guards the watch: without spans of calm it has nothing to look at."""
+    """Guard the monitor, which checks only periods without disturbances."""
     seeds = [seed for seed in range(40) if 'heal' in _names(seed)]
     assert len(seeds) > 20
     for seed in seeds:
@@ -131,9 +131,9 @@
 
 
 def test_a_run_has_each_loss():
-    """Guards against a kind of loss that is never drawn."""
+    """Guard against a kind of loss that is never drawn."""
     events = [each for seed in range(40) for each in draw_plan(seed, 60).events]
-    aways = [each.given[0] for each in events if each.name == 'away']
+    aways = [each.arguments[0] for each in events if each.name == 'away']
     assert None in aways
     assert any(away is not None and away > 20 for away in aways)
     assert any(each.name == 'replace' for each in events)
@@ -144,7 +144,7 @@
     return {each.name for each in draw_plan(seed, 30).events}
 
 
-def _told(seed):
+def _planned_events(seed):
     return [
         (each.at, each.name, each.target) for each in draw_plan(seed, 30).events
     ]
@@ -180,7 +180,7 @@
 
 
 class _WatchedWorld:
-    """A world with two agents, and one task that lasts, on the first."""
+    """A world with two agents, and one keeper on the first."""
 
     def __init__(self, clock):
         from soak.platform.world import SettlingBook
@@ -189,7 +189,7 @@
         self.book = SettlingBook()
         self.rows = MemoryRows(clock)
         self.link = _Link()
-        self.weathers = {}
+        self.conditions_by_link = {}
         self.programs = {name: _Program(name) for name in names}
         self.agents = names[1:]
         self.fronts = {'entry-0': 0}
@@ -209,20 +209,22 @@
 
 
 class _Watched:
-    """A watch in virtual time."""
+    """A keeper monitor in virtual time."""
 
     def __init__(self, monkeypatch):
-        from soak.platform import calm, callers, lasting
+        from soak.platform import callers, keeper_monitor, stability
 
         self.clock = Clock()
-        for module in (calm, lasting):
+        for module in (stability, keeper_monitor):
             monkeypatch.setattr(module, 'reactor', self.clock)
         self.world = _WatchedWorld(self.clock)
-        told = callers.Callers(self.world)
-        told._expect(PlannedJob(0, 'a', (1,), 300, is_keeper=True))
-        told.accepted.append('a')
-        self.calm = calm.Calm(self.world)
-        self.watch = lasting.LastingWatch(self.world, told, self.calm)
+        received = callers.Callers(self.world)
+        received._expect(PlannedJob(0, 'a', (1,), 300, is_keeper=True))
+        received.accepted.append('a')
+        self.stability = stability.StabilityMonitor(self.world)
+        self.monitor = keeper_monitor.KeeperMonitor(
+            self.world, received, self.stability
+        )
 
     def start_on(self, name):
         run = Run('a.0.0.0', 1, 10**6, '')
@@ -232,12 +234,12 @@
         )
 
     def missed_after(self, seconds):
-        """The places of what was missed by then."""
+        """Return the places of the tasks missed after more s."""
         for _each in range(round(seconds * 10)):
             self.clock.advance(0.1)
-            self.calm.look()
-            self.watch.look()
-        return [line.split()[1] for line in self.watch.missed]
+            self.stability.check()
+            self.monitor.check()
+        return [line.split()[1] for line in self.monitor.missed]
 
 
 @pytest.fixture
@@ -246,7 +248,7 @@
 
 
 def test_a_task_is_missed_after_the_rules_bound(watched):
-    """Guards the watch: 6 s after the last run, and 3 s of nothing."""
+    """Guard the bound: 6 s after the last run, then 3 s without a run."""
     watched.start_on('agent-0')
     assert watched.missed_after(20) == []
     watched.world.workers['agent-0'].crash()
@@ -255,7 +257,7 @@
 
 
 def test_a_fault_in_the_calm_before_delays_the_bound(watched):
-    """Guards against blame for a task under faults."""
+    """Guard against reporting a task during faults."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
@@ -268,18 +270,18 @@
 
 
 def test_a_start_disturbs_until_the_process_serves_but_not_for_ever(watched):
-    """Guards against a program that never serves and so hides all."""
+    """Guard against a program that never serves and hides missed tasks."""
     program = watched.world.programs['entry-0']
     program.is_up = False
     program.started_at = watched.clock.seconds()
     watched.missed_after(9)
-    assert watched.clock.seconds() - watched.calm.since < 0.2
+    assert watched.clock.seconds() - watched.stability.since < 0.2
     watched.missed_after(3)
-    assert watched.clock.seconds() - watched.calm.since > 1
+    assert watched.clock.seconds() - watched.stability.since > 1
 
 
 def test_without_room_twice_over_nothing_is_missed(watched):
-    """Guards against blame where the rule asks for nothing."""
+    """Guard against reporting a task without capacity for two."""
     watched.start_on('agent-0')
     watched.world.workers['agent-0'].crash()
     watched.world.workers['agent-0'].is_leaving = True
@@ -288,7 +290,7 @@
 
 
 def test_a_task_of_a_machine_that_is_away_waits_for_its_grant(watched):
-    """Guards the two lists: only such tasks wait for the machine."""
+    """Guard the separate figure for tasks of lost VMs."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
@@ -298,7 +300,7 @@
 
 
 def test_a_silent_former_owner_makes_the_wait_longer(watched):
-    """Guards against blame while an entry that is lost may still grant."""
+    """Guard against a report while a lost entry may still grant a lease."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
