--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -155,7 +155,7 @@
     and the retry finds the rows of the other change.
     """
     deployment = deployment_with_teams(entries=2, agents=1)
-    deployment.entry(0).store.lose_answers = 1
+    deployment.entry(0).store.lose_responses = 1
     first_results = deployment.configure(
         'team/t1', team(7), entry=0, expected=2
     )
--- a/tests/test_configuration_random.py
+++ b/tests/test_configuration_random.py
@@ -60,7 +60,7 @@
     def inject_fault(self, draw, entry):
         deployment = self.deployment
         if draw < 0.1:
-            entry.store.lose_answers += 1
+            entry.store.lose_responses += 1
             self.faults['answer lost'] += 1
         elif draw < 0.16:
             deployment.table.outage = not deployment.table.outage
