--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,7 +1,9 @@
-"""Runs a small deployment and drives bookings and a job through it.
+"""Runs a small deployment and sends bookings and a batch job to it.
 
-``python -m demo`` ends by itself; ``python -m demo --stay`` leaves the
-deployment running and prints how to try it by curl and by the command line.
+``python -m demo`` ends by itself; its exit code is 0 if every booking and
+every task of the job succeeded. ``python -m demo --stay`` leaves the deployment
+running and prints commands to try. ``--binary FILE`` runs entries and agents
+from a zipapp.
 """
 
 import http.client
@@ -21,26 +23,43 @@
 SECRET = 'demo-inner-secret-0123456789'
 TOKEN = 'demo-operator-token-0123456789'
 ZONES = ('paddock', 'tack-room', 'office')
-AGENTS = 3
-ENTRIES = 2
-BOOKINGS = 600
-CALLERS = 8
+AGENT_COUNT = 3
+ENTRY_COUNT = 2
+BOOKING_COUNT = 600
+CALLER_COUNT = 8
 
 
 def free_ports(count):
+    """Return unused ports of the local host; they are not reserved."""
     sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(('127.0.0.1', 0))
-    ports = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
+    for free_socket in sockets:
+        free_socket.bind(('127.0.0.1', 0))
+    ports = [free_socket.getsockname()[1] for free_socket in sockets]
+    for free_socket in sockets:
+        free_socket.close()
     return ports
 
 
 class Deployment:
-    """All processes of a small deployment; entries may be the zipapp."""
+    """The processes of a small deployment on the local host.
+
+    Attributes:
+        work: The directory of settings and log files.
+        processes: The running processes, by name.
+        binary: The start of the command line of entries and agents.
+        table: The address of the stand-in for the table store.
+        entries: The addresses of each entry, by port.
+        agents: The addresses of each agent, its worker and its backend.
+    """
 
     def __init__(self, binary=None, work=WORK):
+        """Choose ports; no process starts.
+
+        Args:
+            binary: The zipapp to run entries and agents from; the source by
+                default.
+            work: The directory of settings and log files.
+        """
         self.work = pathlib.Path(work)
         self.processes = {}
         self.binary = (
@@ -53,7 +72,7 @@
             ]
         )
         self.work.mkdir(exist_ok=True)
-        ports = iter(free_ports(1 + 3 * ENTRIES + 3 * AGENTS))
+        ports = iter(free_ports(1 + 3 * ENTRY_COUNT + 3 * AGENT_COUNT))
         self.table = f'127.0.0.1:{next(ports)}'
         self.entries = [
             {
@@ -61,7 +80,7 @@
                 'operators': f'127.0.0.1:{next(ports)}',
                 'inner': f'127.0.0.1:{next(ports)}',
             }
-            for _ in range(ENTRIES)
+            for _ in range(ENTRY_COUNT)
         ]
         self.agents = [
             {
@@ -69,20 +88,22 @@
                 'worker': f'127.0.0.1:{next(ports)}',
                 'backend': f'127.0.0.1:{next(ports)}',
             }
-            for _ in range(AGENTS)
+            for _ in range(AGENT_COUNT)
         ]
 
     def spawn(self, name, arguments):
+        """Start a process that logs to ``work/<name>.log``."""
         log = open(self.work / f'{name}.log', 'w')
         self.processes[name] = subprocess.Popen(
             arguments, cwd=ROOT, stdout=log, stderr=log
         )
 
     def start(self):
+        """Start all processes."""
         python = sys.executable
         self.spawn('table', [python, '-m', 'standins.table', self.table])
         for number, entry in enumerate(self.entries):
-            path = self.write(
+            settings_path = self.write_settings(
                 f'entry-{number}',
                 {
                     'id': f'entry-{number}',
@@ -96,9 +117,11 @@
                     'notice_ms': 300.0,
                 },
             )
-            self.spawn(f'entry-{number}', [*self.binary, 'entry', path])
+            self.spawn(
+                f'entry-{number}', [*self.binary, 'entry', settings_path]
+            )
         for number, agent in enumerate(self.agents):
-            path = self.write(
+            settings_path = self.write_settings(
                 f'agent-{number}',
                 {
                     'id': f'agent-{number}',
@@ -115,7 +138,9 @@
                 f'worker-{number}',
                 [python, '-m', 'standins.worker', agent['worker']],
             )
-            self.spawn(f'agent-{number}', [*self.binary, 'agent', path])
+            self.spawn(
+                f'agent-{number}', [*self.binary, 'agent', settings_path]
+            )
             self.spawn(
                 f'backend-{number}',
                 [
@@ -129,7 +154,8 @@
                 ],
             )
 
-    def write(self, name, settings):
+    def write_settings(self, name, settings):
+        """Write a settings file; return its path."""
         path = self.work / f'{name}.json'
         path.write_text(
             '// Written by the demo.\n' + json.dumps(settings, indent=2)
@@ -137,6 +163,7 @@
         return str(path)
 
     def operate(self, method, path, body=None, headers=None, entry=0):
+        """Call the operator API; return the status and the body."""
         return http_call(
             self.entries[entry]['operators'],
             method,
@@ -146,30 +173,36 @@
         )
 
     def wait_ready(self):
+        """Wait until each entry lists all backends; exit after 40 s."""
         deadline = time.monotonic() + 40
         while time.monotonic() < deadline:
             self.check_alive()
-            if all(self.sees_all(number) for number in range(ENTRIES)):
+            if all(
+                self.lists_all_backends(number) for number in range(ENTRY_COUNT)
+            ):
                 return
             time.sleep(0.2)
         raise SystemExit(f'not ready in time; logs are in {self.work}')
 
     def check_alive(self):
+        """Exit if a process has ended."""
         for name, process in self.processes.items():
             if process.poll() is not None:
                 raise SystemExit(
                     f'{name} has ended; see {self.work}/{name}.log'
                 )
 
-    def sees_all(self, number):
+    def lists_all_backends(self, number):
+        """Return whether an entry lists the backends of all agents."""
         try:
             status, body = self.operate('GET', 'status', entry=number)
         except OSError:
             return False
         agents = json.loads(body)['agents'] if status == 200 else []
-        return sum(len(agent['backends']) for agent in agents) == AGENTS
+        return sum(len(agent['backends']) for agent in agents) == AGENT_COUNT
 
     def configure(self):
+        """Submit the configuration; return its version."""
         size = {'cores': 1.0, 'memory_gb': 2.0}
         documents = [
             (
@@ -191,19 +224,20 @@
         return json.loads(body)['version']
 
     def wait_in_force(self, version):
-        started = time.monotonic()
-        while time.monotonic() - started < 10:
+        """Wait until all processes report a version; return the seconds."""
+        started_s = time.monotonic()
+        while time.monotonic() - started_s < 10:
             _, body = self.operate('GET', 'status')
             status = json.loads(body)
-            seen = [agent['configuration'] for agent in status['agents']]
-            seen.extend(status['entries'].values())
-            if all(known >= version for known in seen):
-                return time.monotonic() - started
+            versions = [agent['configuration'] for agent in status['agents']]
+            versions.extend(status['entries'].values())
+            if all(reported >= version for reported in versions):
+                return time.monotonic() - started_s
             time.sleep(0.05)
         raise SystemExit('the configuration did not come into force')
 
     def stop(self):
-        """Stop the system first, then what it depends on."""
+        """Stop entries and agents first, then what they depend on."""
         system = [
             name for name in self.processes if name[:5] in {'agent', 'entry'}
         ]
@@ -211,9 +245,10 @@
             for name in names:
                 self.processes[name].send_signal(signal.SIGTERM)
             for name in names:
-                self.wait(self.processes[name])
+                self.wait_or_kill(self.processes[name])
 
-    def wait(self, process):
+    def wait_or_kill(self, process):
+        """Wait 10 s for the end of a process, then kill it."""
         try:
             process.wait(10)
         except subprocess.TimeoutExpired:
@@ -221,6 +256,7 @@
 
 
 def http_call(address, method, path, body=None, headers=None):
+    """Send one request; return the status and the body."""
     host, port = address.split(':')
     connection = http.client.HTTPConnection(host, int(port), timeout=15)
     try:
@@ -231,25 +267,28 @@
         connection.close()
 
 
-def drive_bookings(deployment):
+def send_bookings(deployment):
+    """Send the bookings; return the outcome and milliseconds of each."""
     outcomes = []
 
-    def caller(number):
-        for booking in range(BOOKINGS // CALLERS):
-            entry = deployment.entries[(number + booking) % ENTRIES]
-            text = f'rider-{number}-{booking}'
-            started = time.perf_counter()
+    def send_as_caller(number):
+        for booking in range(BOOKING_COUNT // CALLER_COUNT):
+            entry = deployment.entries[(number + booking) % ENTRY_COUNT]
+            booking_text = f'rider-{number}-{booking}'
+            started_s = time.perf_counter()
             status, body = http_call(
-                entry['callers'], 'POST', '/trust/booking/lessons', text
+                entry['callers'], 'POST', '/trust/booking/lessons', booking_text
             )
-            took = (time.perf_counter() - started) * 1000
-            is_own = status == 200 and json.loads(body)['echo'] == text
-            kind = 'answered' if is_own else error_kind(status, body)
-            outcomes.append((kind, took))
+            latency_ms = (time.perf_counter() - started_s) * 1000
+            is_answered = (
+                status == 200 and json.loads(body)['echo'] == booking_text
+            )
+            kind = 'answered' if is_answered else error_kind(status, body)
+            outcomes.append((kind, latency_ms))
 
     threads = [
-        threading.Thread(target=caller, args=(number,))
-        for number in range(CALLERS)
+        threading.Thread(target=send_as_caller, args=(number,))
+        for number in range(CALLER_COUNT)
     ]
     for thread in threads:
         thread.start()
@@ -259,6 +298,7 @@
 
 
 def error_kind(status, body):
+    """Return the kind of a response that is not the expected one."""
     if status == 200:
         return 'not its own answer'
     try:
@@ -267,7 +307,8 @@
         return f'status {status}'
 
 
-def drive_job(deployment):
+def run_job(deployment):
+    """Submit a batch job and wait for it; return its task counts by state."""
     status, body = deployment.operate(
         'POST',
         'jobs',
@@ -282,65 +323,69 @@
     deadline = time.monotonic() + 60
     while time.monotonic() < deadline:
         _, body = deployment.operate('GET', 'jobs/morning-feed')
-        tasks = json.loads(body)['tasks']
-        if tasks.get('completed') == 12:
+        task_count_by_state = json.loads(body)['tasks']
+        if task_count_by_state.get('completed') == 12:
             break
         time.sleep(0.2)
-    return tasks
+    return task_count_by_state
 
 
-def print_table(outcomes, tasks):
-    """Print outcomes by kind; return whether all were good."""
+def print_results(outcomes, task_count_by_state):
+    """Print the results; return whether bookings and tasks all succeeded."""
     kinds = Counter(kind for kind, _ in outcomes)
     print(f'{"bookings sent":<28}{len(outcomes):>8}')
     for kind, count in kinds.most_common():
         print(f'{"  " + kind:<28}{count:>8}')
-    latencies = [took for kind, took in outcomes if kind == 'answered']
-    quantiles = statistics.quantiles(latencies, n=1000)
+    latencies_ms = [
+        latency_ms for kind, latency_ms in outcomes if kind == 'answered'
+    ]
+    permilles = statistics.quantiles(latencies_ms, n=1000)
     for name, index in (('p50', 499), ('p90', 899), ('p99', 989)):
-        print(f'{"latency " + name + " ms":<28}{quantiles[index]:>8.1f}')
-    for state, count in sorted(tasks.items()):
+        print(f'{"latency " + name + " ms":<28}{permilles[index]:>8.1f}')
+    for state, count in sorted(task_count_by_state.items()):
         print(f'{"job tasks " + state:<28}{count:>8}')
-    is_whole = kinds['answered'] == len(outcomes)
-    return is_whole and tasks.get('completed') == 12
+    all_answered = kinds['answered'] == len(outcomes)
+    return all_answered and task_count_by_state.get('completed') == 12
 
 
 def main():
+    """Run the demo."""
     binary = None
     if '--binary' in sys.argv:
         binary = sys.argv[sys.argv.index('--binary') + 1]
         if not pathlib.Path(binary).is_file():
             raise SystemExit(f'{binary}: no such file; run make binary first')
-    # Ends the deployment like Ctrl-C does.
+    # SIGTERM stops the deployment as Ctrl-C does.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     deployment = Deployment(binary)
     deployment.start()
     try:
         deployment.wait_ready()
         version = deployment.configure()
-        took = deployment.wait_in_force(version)
-        print(f'{"configuration in force s":<28}{took:>8.2f}')
+        in_force_s = deployment.wait_in_force(version)
+        print(f'{"configuration in force s":<28}{in_force_s:>8.2f}')
         if '--stay' in sys.argv:
             stay(deployment)
             return
-        outcomes = drive_bookings(deployment)
-        is_good = print_table(outcomes, drive_job(deployment))
+        outcomes = send_bookings(deployment)
+        has_succeeded = print_results(outcomes, run_job(deployment))
     finally:
         deployment.stop()
-    sys.exit(0 if is_good else 1)
+    sys.exit(0 if has_succeeded else 1)
 
 
 def stay(deployment):
+    """Print commands to try; return on SIGINT or SIGTERM."""
     entry = deployment.entries[0]
-    bookings = f'http://{entry["callers"]}/trust/booking/lessons'
-    status = f'http://{entry["operators"]}/v1/status'
+    booking_url = f'http://{entry["callers"]}/trust/booking/lessons'
+    status_url = f'http://{entry["operators"]}/v1/status'
     command = '.venv/bin/hyssopring'
     if deployment.binary[1:] != ['-m', 'hyssopring']:
         command = ' '.join(deployment.binary)
     print(
         'Running; Ctrl-C stops it. Try, from the same directory:',
-        f'curl -i -d rider=ana {bookings}',
-        f'curl -H "Authorization: Bearer {TOKEN}" {status}',
+        f'curl -i -d rider=ana {booking_url}',
+        f'curl -H "Authorization: Bearer {TOKEN}" {status_url}',
         f'export HYSSOPRING_ENTRY={entry["operators"]}',
         f'export HYSSOPRING_TOKEN={TOKEN}',
         f'{command} status',
