--- a/hyssopring/cli/fleet_pages.py
+++ b/hyssopring/cli/fleet_pages.py
@@ -78,13 +78,13 @@
     for entry, address in status['operators'].items():
         addresses.setdefault(entry, address)
     for name, operator_address in addresses.items():
-        answer = client.at(operator_address).get(path)
-        if answer.is_ok():
-            fleet.page_by_entry[name] = answer.unwrap()
-        elif answer.unwrap_err().exit_code is ExitCode.REFUSED:
-            return Err(answer.unwrap_err())
+        page_result = client.at(operator_address).get(path)
+        if page_result.is_ok():
+            fleet.page_by_entry[name] = page_result.unwrap()
+        elif page_result.unwrap_err().exit_code is ExitCode.REFUSED:
+            return Err(page_result.unwrap_err())
         else:
-            fleet.failure_by_entry[name] = answer.unwrap_err().line
+            fleet.failure_by_entry[name] = page_result.unwrap_err().line
     return Ok(fleet)
 
 
@@ -101,10 +101,10 @@
     deadline = time.monotonic() + _WAIT_TIMEOUT_S
     outdated: list[str] = []
     while time.monotonic() < deadline:
-        answer = read_fleet_pages(client, 'status')
-        if answer.is_err():
-            return Err(answer.unwrap_err())
-        version_by_process = answer.unwrap().version_by_process
+        page_result = read_fleet_pages(client, 'status')
+        if page_result.is_err():
+            return Err(page_result.unwrap_err())
+        version_by_process = page_result.unwrap().version_by_process
         outdated = [
             name
             for name in sorted(version_by_process)
--- a/hyssopring/cli/log_sentences.py
+++ b/hyssopring/cli/log_sentences.py
@@ -87,7 +87,7 @@
 
 
 def format_seconds(millis: float) -> str:
-    """Return a span in seconds with its unit."""
+    """Return a time in milliseconds as text in seconds."""
     return f'{millis / MILLIS_PER_SECOND:.1f} s'
 
 
@@ -121,8 +121,8 @@
 def _describe_end(fields: _Fields) -> str:
     how = fields.get('how', fields.get('phase', 'recorded'))
     number = fields.get('number')
-    shown = f', exit {number}' if how == 'failed' else ''
-    return f'{_ATTEMPT.format_map(fields)} ended: {how}{shown}'
+    exit_note = f', exit {number}' if how == 'failed' else ''
+    return f'{_ATTEMPT.format_map(fields)} ended: {how}{exit_note}'
 
 
 def _describe_job_end(fields: _Fields) -> str:
--- a/hyssopring/cli/log_spans.py
+++ b/hyssopring/cli/log_spans.py
@@ -65,18 +65,18 @@
     last_by_task: dict[str, LogLine] = {}
     for line in lines:
         task = str(line.record.get('task', ''))
-        before = last_by_task.get(task)
-        if before is not None:
-            yield from _step_spans(before, line)
+        previous = last_by_task.get(task)
+        if previous is not None:
+            yield from _step_spans(previous, line)
         if task and line.event in _STEP_EVENTS:
             last_by_task[task] = line
 
 
-def _step_spans(before: LogLine, line: LogLine) -> Iterator[Span]:
+def _step_spans(previous: LogLine, line: LogLine) -> Iterator[Span]:
     """Yield the span between two steps of a task, if it has a known cause."""
-    millis = millis_of(line.at - before.at)
-    steps = (before.event, line.event)
-    how = before.record.get('how')
+    millis = millis_of(line.at - previous.at)
+    steps = (previous.event, line.event)
+    how = previous.record.get('how')
     if steps == (Event.TASK_PLACED, Event.TASK_LAPSED):
         reason = str(line.record.get('reason', 'unknown'))
         yield Span(
@@ -92,18 +92,18 @@
 
 
 def _ownership_gaps(lines: Sequence[LogLine]) -> Iterator[Span]:
-    """Yield the longest time for which the shard may have had no owner.
+    """Yield the longest possible time without an owner, for each change.
 
     An owner that crashes logs nothing, so the time is counted from the line
     before the next owner's first line.
     """
-    for before, line in zip(lines, lines[1:], strict=False):
+    for previous, line in zip(lines, lines[1:], strict=False):
         if line.event == Event.SHARD_ACQUIRED:
             unreported = line.record.get('unheard', 'unknown')
             cause = (
                 f'at most: the owner died or gave way ({unreported} unheard)'
             )
-            yield Span(millis_of(line.at - before.at), cause)
+            yield Span(millis_of(line.at - previous.at), cause)
 
 
 def _keeper_waits(lines: Sequence[LogLine]) -> Iterator[Span]:
--- a/hyssopring/cli/views.py
+++ b/hyssopring/cli/views.py
@@ -181,10 +181,10 @@
 
 def _entries_line(fleet: FleetPages) -> str:
     pages = fleet.page_by_entry
-    planned = sum(len(page['shards']) for page in pages.values())
+    planned_count = sum(len(page['shards']) for page in pages.values())
     shard_count = max(page['shards_in_all'] for page in pages.values())
     names = ' '.join(sorted(pages))
-    return f'entries: {names}; shards planned: {planned} of {shard_count}'
+    return f'entries: {names}; shards planned: {planned_count} of {shard_count}'
 
 
 _View = Callable[..., None]
