--- a/bench/colocation_day.py
+++ b/bench/colocation_day.py
@@ -84,7 +84,7 @@
         return SharedWorker(
             self.reactor,
             name,
-            self.book,
+            self.run_recorder,
             Size(cores * MILLIS, MEMORY_MB, 0),
             self.day.interference,
             self.day,
@@ -157,7 +157,7 @@
     def _pass(self, seconds):
         self.deployment.run(seconds)
         self.keeper_s += self.keepers * seconds
-        ends = self.deployment.book.ends
+        ends = self.deployment.run_recorder.ends
         for at, task, _number, how in ends[self._ends_seen :]:
             if how is AttemptEnd.DONE:
                 self._done(self.handed[task.split('.')[0]], task, at)
@@ -176,12 +176,12 @@
             wait_s = self.random.uniform(2, LOAD_S - 8)
             worker = self.random.choice(self.deployment.workers)
             later(wait_s, self._lose, worker)
-            later(wait_s + AWAY_S, setattr, worker, 'is_dark', False)
+            later(wait_s + AWAY_S, setattr, worker, 'is_unresponsive', False)
 
     @staticmethod
     def _lose(worker):
         worker.crash()
-        worker.is_dark = True
+        worker.is_unresponsive = True
 
     def _hand_in_keepers(self):
         """Hand keepers in until most of the room is reserved."""
--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -15,7 +15,7 @@
 import fire
 
 from hyssopring.clock import MILLIS_PER_SECOND
-from standins.jobs import book
+from standins.jobs import run_recorder
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
 KEEPERS: Final = 12
@@ -64,7 +64,7 @@
         """Hand the crashing job in, and add up what follows."""
         self._deployment.submit(self._job)
         away_s = self._pass(self._seconds)
-        record = self._deployment.book
+        record = self._deployment.run_recorder
         return Cost(
             sum(map(len, record.kills.values())),
             away_s,
@@ -94,7 +94,7 @@
         return self._deployment.reactor.seconds()
 
     def _at_work(self):
-        running = self._deployment.book.running
+        running = self._deployment.run_recorder.running
         return sum(
             bool(running.get(str(task))) for task in self._keepers.tasks(0, 0)
         )
@@ -127,7 +127,7 @@
 
 def _lift_budget():
     """Let code without a bound go on to the end."""
-    book.MOST_KILLS = 10**6
+    run_recorder.MOST_KILLS = 10**6
 
 
 if __name__ == '__main__':
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -64,7 +64,7 @@
     def waits_s(self, since):
         """How long jobs of this time on waited; those that never began too."""
         begun = {}
-        for row in self.deployment.book.starts:
+        for row in self.deployment.run_recorder.starts:
             begun.setdefault(row[2].partition('.')[0], row[0])
         return [
             begun.get(job_id, self.now) - tried_at
@@ -136,8 +136,8 @@
 
 def turn_the_owner_away(day):
     name = day.deployment.owner
-    day.deployment.rows.shunned.add(name)
-    day.later(AWAY_S, day.deployment.rows.shunned.discard, name)
+    day.deployment.rows.rejected_clients.add(name)
+    day.later(AWAY_S, day.deployment.rows.rejected_clients.discard, name)
 
 
 def freeze_owner(day):
--- a/soak/platform/callers.py
+++ b/soak/platform/callers.py
@@ -78,7 +78,7 @@
 
     def __init__(self, world):
         self.world = world
-        self.book = world.book
+        self.run_recorder = world.run_recorder
         ports = world.front_ports
         self.callers = [
             Caller(world.host, ports, first) for first in range(len(ports))
@@ -133,28 +133,32 @@
             for job_id in self.accepted
             if self.jobs[job_id].is_keeper
             for task in tasks_of(self.jobs[job_id])
-            if len(self.book.running.get(task, ())) != 1
+            if len(self.run_recorder.running.get(task, ())) != 1
         ]
 
     def check(self):
         """Compare the runs with the received states; return all violations."""
-        started = {row[2].partition('.')[0] for row in self.book.starts}
+        started = {row[2].partition('.')[0] for row in self.run_recorder.starts}
         for job_id in self.refused & started:
             self.broken.append(f'{job_id} was refused and has started')
-        done = {row[1] for row in self.book.ends if row[3] is AttemptEnd.DONE}
+        done = {
+            row[1]
+            for row in self.run_recorder.ends
+            if row[3] is AttemptEnd.DONE
+        }
         for job_id in self.completed:
             missing = set(tasks_of(self.jobs[job_id])) - done
             if missing:
                 self.broken.append(f'{job_id} is completed without {missing}')
-        return self.broken + self.book.broken
+        return self.broken + self.run_recorder.broken
 
     def _expect(self, job):
         self.jobs[job.job_id] = job
-        self.book.sizes[job.job_id] = Size(job.cpu, MEMORY_MB, 0)
+        self.run_recorder.sizes[job.job_id] = Size(job.cpu, MEMORY_MB, 0)
         if job.is_keeper:
-            self.book.keepers.update(tasks_of(job))
+            self.run_recorder.keepers.update(tasks_of(job))
         if job.is_failing:
-            self.book.failing.update(tasks_of(job))
+            self.run_recorder.failing.update(tasks_of(job))
 
     def _is_settled(self, job, is_first, status, fields):
         if status == 200:
--- a/soak/platform/keeper_monitor.py
+++ b/soak/platform/keeper_monitor.py
@@ -43,7 +43,7 @@
 
     def __init__(self, world, callers, stability):
         self.world = world
-        self.book = world.book
+        self.run_recorder = world.run_recorder
         self.callers = callers
         self.stability = stability
         self.last_by_task = {}
@@ -73,9 +73,11 @@
                 self._check_job(now_s, job, free)
 
     def _read_starts(self):
-        for at, worker, task, _number in self.book.starts[self.read_starts :]:
+        for at, worker, task, _number in self.run_recorder.starts[
+            self.read_starts :
+        ]:
             self.last_by_task[task] = LastRun(worker, at)
-        self.read_starts = len(self.book.starts)
+        self.read_starts = len(self.run_recorder.starts)
 
     def _check_owner(self, now_s):
         row = self.world.owner_row()
@@ -83,13 +85,13 @@
             self.owner, self.owned_since = row.text, now_s
 
     def _check_job(self, now_s, job, free):
-        size = self.book.sizes[job.job_id]
+        size = self.run_recorder.sizes[job.job_id]
         has_capacity = sum(_fit_count(size, capacity) for capacity in free) >= 2
         for task in tasks_of(job):
             last = self.last_by_task.setdefault(task, LastRun('', now_s))
             if not has_capacity:
                 self.no_capacity_at[task] = now_s
-            if self.book.running.get(task):
+            if self.run_recorder.running.get(task):
                 last.seen_at = now_s
                 self.reported.discard(task)
             else:
@@ -150,14 +152,16 @@
     def _schedulable_workers(self):
         for name, worker in self.world.workers.items():
             is_up = self.world.programs[name].is_up
-            is_unavailable = worker.is_dark or worker.is_down or worker.is_gone
+            is_unavailable = (
+                worker.is_unresponsive or worker.is_down or worker.is_gone
+            )
             if is_up and not is_unavailable and not worker.is_leaving:
                 yield worker
 
     def _free(self, worker):
         used = Size()
         for run in worker.runs.values():
-            used = used.plus(self.book.sizes[run.task.split('.')[0]])
+            used = used.plus(self.run_recorder.sizes[run.task.split('.')[0]])
         return worker.room.minus(used)
 
 
--- a/soak/platform/run.py
+++ b/soak/platform/run.py
@@ -77,7 +77,7 @@
             f'seed {self.plan.seed}: {len(self.happened)} events, '
             f'{starts} program starts, {len(callers.accepted)} jobs accepted, '
             f'{len(callers.refused)} refused, '
-            f'{len(self.world.book.starts)} task starts, '
+            f'{len(self.world.run_recorder.starts)} task starts, '
             f'keepers after {self.keepers_s:.1f} s, '
             f'quiet after {self.quiet_s:.1f} s, '
             f'{self.world.queues} queues in force after '
@@ -95,11 +95,11 @@
 
     def trace(self):
         """Return events and task runs, with times as in the programs' logs."""
-        book = self.world.book
+        run_recorder = self.world.run_recorder
         rows = [(at, f'event {text}') for at, text in self.happened]
         rows.append((self.healed_at, 'event healed'))
-        rows += [(row[0], f'start {row[1:]}') for row in book.starts]
-        rows += [(row[0], f'end {row[1:]}') for row in book.ends]
+        rows += [(row[0], f'start {row[1:]}') for row in run_recorder.starts]
+        rows += [(row[0], f'end {row[1:]}') for row in run_recorder.ends]
         return [f'{at:.3f} {text}' for at, text in sorted(rows)]
 
     @inlineCallbacks
--- a/soak/platform/stability.py
+++ b/soak/platform/stability.py
@@ -78,7 +78,7 @@
             )
 
     def _check_worker(self, worker, now_s):
-        if worker.is_dark and not worker.is_gone:
+        if worker.is_unresponsive and not worker.is_gone:
             self.record_disturbance(f'{worker.name} is dark')
         lost_calls = self.lost_calls_by_worker.get(worker.name, 0)
         if worker.lose_next != lost_calls:
--- a/soak/platform/world.py
+++ b/soak/platform/world.py
@@ -28,7 +28,7 @@
 from soak.platform.program import Program
 from soak.platform.proxy import LinkConditions, Proxy
 from standins.jobs.rows import MemoryRows
-from standins.jobs.book import Book
+from standins.jobs.run_recorder import RunRecorder
 from standins.jobs.worker import SimWorker
 from standins.narrow_link import NarrowLink, a_configuration
 from standins.platform import RunnerResource, StoreResource, send_heartbeats
@@ -58,7 +58,7 @@
     )
 
 
-class SettlingBook(Book):
+class SettlingRecorder(RunRecorder):
     """Updates all runners before it records and checks a start.
 
     Attributes:
@@ -101,7 +101,7 @@
         self.version = 0
         self.queues = 0
         self.configure(0)
-        self.book = SettlingBook()
+        self.run_recorder = SettlingRecorder()
         self.conditions_by_link = {}
         self.programs = {}
         self.workers = {}
@@ -191,24 +191,24 @@
         worker = SimWorker(
             reactor,
             name,
-            self.book,
+            self.run_recorder,
             self._work_ms,
             CAPACITY,
             rate,
             self.plan.keeps_ids,
         )
         worker.control = self._address(control)
-        worker.fails = self.book.failing.__contains__
+        worker.fails = self.run_recorder.failing.__contains__
         self.workers[name] = worker
-        self.book.workers.append(worker)
+        self.run_recorder.workers.append(worker)
         reactor.listenTCP(
             app, Site(RunnerResource(worker)), interface=self.host
         )
 
     def _work_ms(self, task):
-        if task in self.book.failing:
-            return self.plan.fail_ms(task, self.book.runs_by_task[task])
-        if task in self.book.keepers:
+        if task in self.run_recorder.failing:
+            return self.plan.fail_ms(task, self.run_recorder.runs_by_task[task])
+        if task in self.run_recorder.keepers:
             return KEEPER_MS
         return self.plan.work_ms(task)
 
@@ -235,7 +235,7 @@
         worker, program = self.workers[name], self.programs[name]
         worker.is_gone = True
         worker.crash()
-        worker.is_dark = True
+        worker.is_unresponsive = True
         program.is_wanted = False
         program.end(signal.SIGTERM)
 
@@ -246,7 +246,7 @@
             return
         program.lose(duration_s)
         if duration_s is None:
-            worker.is_gone = worker.is_dark = True
+            worker.is_gone = worker.is_unresponsive = True
             worker.crash()
         else:
             worker.go_down(duration_s)
@@ -316,7 +316,7 @@
         for conditions in self.conditions_by_link.values():
             conditions.heal()
         for worker in self.workers.values():
-            worker.is_dark = worker.is_gone
+            worker.is_unresponsive = worker.is_gone
             worker.lose_next = 0
         for program in self.programs.values():
             program.heal()
@@ -339,7 +339,9 @@
         if event.name in ends:
             target.end(ends[event.name], *event.arguments)
         elif event.name == 'dark':
-            self._set_temporarily(target, 'is_dark', True, *event.arguments)
+            self._set_temporarily(
+                target, 'is_unresponsive', True, *event.arguments
+            )
         elif event.name == 'lose-orders':
             target.lose_next, target.late_s = event.arguments
         elif event.name in {'join', 'leave', 'away', 'replace'}:
--- a/standins/jobs/deployment.py
+++ b/standins/jobs/deployment.py
@@ -8,7 +8,7 @@
 from hyssopring.jobs.messages import pack, unpack
 from hyssopring.jobs.model import Job, Queue, Size, Step
 from standins.jobs.advice import SimAdvice
-from standins.jobs.book import Book
+from standins.jobs.run_recorder import RunRecorder
 from standins.jobs.processes import Agent, Entry
 from standins.jobs.rows import MemoryRows
 from standins.jobs.worker import SimWorker
@@ -41,7 +41,7 @@
         self.cores_by_entry = dict(cores_by_entry)
         self.reactor = Reactor()
         self.rows = MemoryRows(self.reactor)
-        self.book = Book()
+        self.run_recorder = RunRecorder()
         self.advice = SimAdvice(self.reactor)
         self.links = {}
         self.link_s = _even_link
@@ -68,7 +68,7 @@
             self.start_agent(f'agent-{number}', worker)
 
     def _worker(self, name):
-        worker = SimWorker(self.reactor, name, self.book, **self._work)
+        worker = SimWorker(self.reactor, name, self.run_recorder, **self._work)
         worker.advice = self.advice
         return worker
 
@@ -195,19 +195,19 @@
             self.reactor.advance(self.step_s)
             for worker in self.workers:
                 worker.settle()
-            assert not self.book.broken, self.book.broken
+            assert not self.run_recorder.broken, self.run_recorder.broken
 
     def submit(self, job, entry='entry-0'):
         """Submit a job; the returned list receives the outcome."""
         outcomes = []
-        self.book.most_failures[job.job_id] = job.queue.max_attempts
+        self.run_recorder.most_failures[job.job_id] = job.queue.max_attempts
         for step in job.steps:
-            self.book.sizes[job.job_id] = step.reserved_size
+            self.run_recorder.sizes[job.job_id] = step.reserved_size
         if job.queue.advice is not None:
-            self.book.advised.add(job.job_id)
+            self.run_recorder.advised.add(job.job_id)
         for number, step in enumerate(job.steps):
             if step.is_keeper:
-                self.book.keepers.update(map(str, job.tasks(0, number)))
+                self.run_recorder.keepers.update(map(str, job.tasks(0, number)))
         until = self.wall_ms() - WALL_MS + 2000
         self.entries[entry].core.job_api.submit(job, until).addCallback(
             outcomes.append
@@ -261,5 +261,7 @@
 
 def starts_of(deployment, job):
     return [
-        row for row in deployment.book.starts if row[2].startswith(job.job_id)
+        row
+        for row in deployment.run_recorder.starts
+        if row[2].startswith(job.job_id)
     ]
--- a/standins/jobs/faults.py
+++ b/standins/jobs/faults.py
@@ -190,8 +190,8 @@
 
     def _darken_worker(self):
         worker = self.random.choice(self.deployment.workers)
-        worker.is_dark = True
-        self._later(0.5, 12, setattr, worker, 'is_dark', False)
+        worker.is_unresponsive = True
+        self._later(0.5, 12, setattr, worker, 'is_unresponsive', False)
 
     def _lose_orders(self):
         worker = self.random.choice(self.deployment.workers)
@@ -212,8 +212,8 @@
 
     def _shun(self):
         name = self.random.choice(list(self.deployment.entries))
-        self.deployment.rows.shunned.add(name)
-        self._later(1, 9, self.deployment.rows.shunned.discard, name)
+        self.deployment.rows.rejected_clients.add(name)
+        self._later(1, 9, self.deployment.rows.rejected_clients.discard, name)
 
     def _forget(self):
         self.deployment.rows.forget_history()
@@ -233,11 +233,11 @@
         deployment = self.deployment
         deployment.rows.is_down = False
         deployment.rows.is_silent = False
-        deployment.rows.shunned.clear()
+        deployment.rows.rejected_clients.clear()
         for name in list(deployment.cut):
             deployment.heal(name)
         for worker in deployment.workers:
-            worker.is_dark = False
+            worker.is_unresponsive = False
             worker.lose_next = 0
         for name in list(deployment.entries):
             self._entry_back(name)
--- a/standins/jobs/keeper_watch.py
+++ b/standins/jobs/keeper_watch.py
@@ -66,7 +66,7 @@
                 self._check_wait(task)
 
     def is_running(self, task):
-        return bool(self._deployment.book.running.get(task))
+        return bool(self._deployment.run_recorder.running.get(task))
 
     def _now(self):
         return self._deployment.reactor.seconds()
@@ -98,7 +98,7 @@
     def _last_run(self, task):
         """Return when a task's last run ended, and on which VM."""
         never = (self._wanted_since[task], None)
-        return self._deployment.book.last_run_by_task.get(task, never)
+        return self._deployment.run_recorder.last_run_by_task.get(task, never)
 
     def _fit_counter(self):
         """Return a function that counts how many tasks of a size would fit.
@@ -117,7 +117,7 @@
         used = Size()
         for run in worker.runs.values():
             job_id = run.task.split('.')[0]
-            used = used.plus(self._deployment.book.sizes[job_id])
+            used = used.plus(self._deployment.run_recorder.sizes[job_id])
         return worker.room.minus(used)
 
 
--- a/standins/jobs/lasting_rule.py
+++ b/standins/jobs/lasting_rule.py
@@ -45,7 +45,7 @@
         now = self._deployment.reactor.seconds()
         is_calm = now - self._disturbed_at >= CALM_S
         for task, last_at in self._last_at.items():
-            if self._deployment.book.running.get(task):
+            if self._deployment.run_recorder.running.get(task):
                 self._last_at[task] = now
                 continue
             down_s = round(now - last_at, 2)
--- a/standins/jobs/lost_vms.py
+++ b/standins/jobs/lost_vms.py
@@ -13,7 +13,7 @@
 def is_away(agent):
     """Return whether a VM's agent or worker is unreachable."""
     worker = agent.worker
-    return not agent.is_alive or worker.is_down or worker.is_dark
+    return not agent.is_alive or worker.is_down or worker.is_unresponsive
 
 
 class LostVms:
--- a/standins/jobs/moving_days.py
+++ b/standins/jobs/moving_days.py
@@ -197,9 +197,9 @@
 
     def _shun_owner(self):
         name, length = self._owner(), self._length()
-        shunned = self.deployment.rows.shunned
-        shunned.add(name)
-        self._later(length, length, shunned.discard, name)
+        rejected_clients = self.deployment.rows.rejected_clients
+        rejected_clients.add(name)
+        self._later(length, length, rejected_clients.discard, name)
         return name, length
 
     def _lose_commits(self):
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -202,7 +202,7 @@
 
     def beat(self):
         worker = self.worker
-        if not worker.has_beats or worker.is_dark or worker.is_down:
+        if not worker.can_announce or worker.is_unresponsive or worker.is_down:
             return
         if worker.keeps_id:
             post_report(self.reports, worker.boot, report_fields(worker))
--- a/standins/jobs/rolling_days.py
+++ b/standins/jobs/rolling_days.py
@@ -157,7 +157,9 @@
             for task in job.tasks(0, 0)
         }
         running = {
-            task for task, held in self.deployment.book.running.items() if held
+            task
+            for task, held in self.deployment.run_recorder.running.items()
+            if held
         }
         for task in sorted(wanted - running):
             yield f'keeper {task} does not run at the end'
--- a/standins/jobs/rolling_faults.py
+++ b/standins/jobs/rolling_faults.py
@@ -229,7 +229,7 @@
 
     def _end_worker(self, worker):
         worker.crash()
-        worker.is_dark = True
+        worker.is_unresponsive = True
         worker.lose_next = 0
 
     def _end_agent(self, name):
@@ -252,14 +252,14 @@
             worker.slow_s = self.random.uniform(0.5, 1.4)
             self._later(1, 3, setattr, worker, 'slow_s', 0)
         else:
-            worker.is_dark = True
+            worker.is_unresponsive = True
             self._later(1, 3, self._light_up, name)
         self.deployment.kill_agent(name)
         self._later(0.3, 2, self._agent_back, name)
 
     def _light_up(self, name):
         if name not in self.gone:
-            self.deployment.agents[name].worker.is_dark = False
+            self.deployment.agents[name].worker.is_unresponsive = False
 
     def _late_orders(self):
         worker = self.random.choice(self.deployment.workers)
@@ -284,4 +284,4 @@
             worker.slow_s = 0
             worker.is_unhealthy = False
         for name in self.gone:
-            self.deployment.agents[name].worker.is_dark = True
+            self.deployment.agents[name].worker.is_unresponsive = True
--- a/standins/jobs/rows.py
+++ b/standins/jobs/rows.py
@@ -25,7 +25,7 @@
     Attributes:
         is_down: Every call is refused.
         is_silent: No call is carried out or answered.
-        shunned: Clients whose calls are refused.
+        rejected_clients: Clients whose calls are refused.
         lose_next: The number of next commits that are carried out but not
             answered.
         late_s: The delay before these are carried out.
@@ -43,7 +43,7 @@
         self.kept_from = 0
         self.is_down = False
         self.is_silent = False
-        self.shunned = set()
+        self.rejected_clients = set()
         self.lose_next = 0
         self.late_s = 0
         self.pauses = no_pauses
@@ -144,7 +144,7 @@
         return (
             self.store.is_down
             or self.store.is_silent
-            or self.name in self.store.shunned
+            or self.name in self.store.rejected_clients
         )
 
     def _call(self, action, silent_error):
--- a/standins/jobs/book.py
+++ b/standins/jobs/run_recorder.py
@@ -20,7 +20,7 @@
     stops_at: float | None = None
 
 
-class Book:
+class RunRecorder:
     """Records the runs of all workers; violations are added to ``broken``."""
 
     def __init__(self):
--- a/standins/jobs/shared_worker.py
+++ b/standins/jobs/shared_worker.py
@@ -71,7 +71,7 @@
         used_core_s: Core-seconds used by best-effort tasks.
     """
 
-    def __init__(self, reactor, name, book, room, interference, site):
+    def __init__(self, reactor, name, run_recorder, room, interference, site):
         """Run the tasks that ``site`` describes on the resources ``room``."""
         self.interference = interference
         self.site = site
@@ -81,7 +81,9 @@
         self._settled_at = reactor.seconds()
         self._measured_at = reactor.seconds()
         self._random = random.Random(f'worker {name}')
-        super().__init__(reactor, name, book, lambda _task: math.inf, room)
+        super().__init__(
+            reactor, name, run_recorder, lambda _task: math.inf, room
+        )
 
     def begin(self):
         super().begin()
@@ -89,7 +91,7 @@
 
     def poll(self, request):
         """Answer a poll when a task has ended, or after its wait time."""
-        if self.is_dark or self.slow_s or request.boot != self.boot:
+        if self.is_unresponsive or self.slow_s or request.boot != self.boot:
             return super().poll(request)
         answer = Deferred()
         due = self.reactor.seconds() + max(CALL_S, request.wait_ms / MILLIS)
@@ -191,13 +193,13 @@
                 self._answer(
                     answer,
                     request.boot,
-                    lambda request=request: self._look(request),
+                    lambda request=request: self._poll(request),
                 )
             else:
                 self._pending_polls.append((due, answer, request))
 
-    def _look(self, request):
-        listing = super()._look(request)
+    def _poll(self, request):
+        listing = super()._poll(request)
         rows = tuple(self._row(row) for row in listing.rows)
         return Listing(listing.clock_ms, rows, listing.ends)
 
@@ -252,4 +254,6 @@
         for shared in self._shared_by_task.values():
             used = used.plus(shared.step.reserved_size)
         if not used.fits_in(self.room):
-            self.book.broken.append(f'{self.name} is over its room: {used}')
+            self.run_recorder.broken.append(
+                f'{self.name} is over its room: {used}'
+            )
--- a/standins/jobs/stillness.py
+++ b/standins/jobs/stillness.py
@@ -64,7 +64,7 @@
 
     def _is_wrong(self):
         deployment, rows = self._deployment, self._deployment.rows
-        is_store_wrong = rows.is_down or rows.is_silent or rows.shunned
+        is_store_wrong = rows.is_down or rows.is_silent or rows.rejected_clients
         return bool(
             self._is_disturbed()
             or deployment.cut
@@ -78,7 +78,7 @@
         worker = agent.worker
         if agent.name in self._gone:
             return False
-        return worker.is_dark or worker.slow_s or worker.is_unhealthy
+        return worker.is_unresponsive or worker.slow_s or worker.is_unhealthy
 
     def _check_lost_answers(self):
         """Count each lost answer, but not the intent to lose some."""
--- a/standins/jobs/worker.py
+++ b/standins/jobs/worker.py
@@ -16,7 +16,7 @@
     WorkerRow,
     WorkerUnreachable,
 )
-from standins.jobs.book import Run
+from standins.jobs.run_recorder import Run
 
 CALL_S = 0.001
 TIMEOUT_S = 0.4
@@ -35,7 +35,7 @@
     Attributes:
         rate: Speed of its monotonic clock.
         labels: The labels that it announces.
-        is_dark: It answers no request and keeps running.
+        is_unresponsive: It answers no request and keeps running.
         is_gone: It has left permanently and announces nothing any more.
         lose_next: The number of next start, stop and pace requests that are
             carried out but not answered.
@@ -47,7 +47,7 @@
         kills: Returns whether the worker crashes when it starts a task.
         kill_s: The time from such a start to the crash.
         away_s: The downtime after such a crash.
-        has_beats: Whether its announcements reach its agent.
+        can_announce: Whether its announcements reach its agent.
         keeps_id: Each incarnation has the same ID, and all counters restart.
         clocks_ms: The initial clock readings of its incarnations.
         lose_polls: The number of next polls that are carried out but not
@@ -60,7 +60,7 @@
         self,
         reactor,
         name,
-        book,
+        run_recorder,
         work_ms,
         room=None,
         rate=1,
@@ -69,12 +69,12 @@
         self.reactor = reactor
         self.name = name
         self.keeps_id = keeps_id
-        self.book = book
+        self.run_recorder = run_recorder
         self.work_ms = work_ms
         self.room = room or Size(16_000, 64_000, 0)
         self.rate = rate
         self.labels = ('a', 'r1')
-        self.is_dark = False
+        self.is_unresponsive = False
         self.is_leaving = False
         self.is_gone = False
         self.lose_next = 0
@@ -91,7 +91,7 @@
         self.is_down = False
         # The resources before it shrank, while agents may still rely on them.
         self.kept_room = None
-        self.has_beats = True
+        self.can_announce = True
         self.clocks_ms = itertools.repeat(FIRST_CLOCK_MS)
         self.lose_polls = 0
         self.announces_born = keeps_id
@@ -121,7 +121,7 @@
     def crash(self):
         now = self.reactor.seconds()
         for run in self.runs.values():
-            self.book.ended(now, self, run, 'crash')
+            self.run_recorder.ended(now, self, run, 'crash')
         self.runs = {}
         self.begin()
 
@@ -139,7 +139,7 @@
 
     def _crash_if_same(self, task, incarnation_count):
         if incarnation_count == self.incarnation_count:
-            self.book.killed(task, self)
+            self.run_recorder.killed(task, self)
             self.go_down(self.away_s)
 
     def resize(self, room):
@@ -192,12 +192,12 @@
 
     def poll(self, request):
         timeout_s = request.timeout_ms / SECOND_MS
-        if self.lose_polls and not self.is_dark:
+        if self.lose_polls and not self.is_unresponsive:
             self.lose_polls -= 1
             return self._carry_out_unanswered(
-                request.boot, lambda: self._look(request), timeout_s
+                request.boot, lambda: self._poll(request), timeout_s
             )
-        return self._call(request.boot, lambda: self._look(request), timeout_s)
+        return self._call(request.boot, lambda: self._poll(request), timeout_s)
 
     def start(self, start):
         return self._order(start.boot, lambda: self._start(start))
@@ -222,7 +222,7 @@
                 self.end(run, AttemptEnd.FAILED if failed else AttemptEnd.DONE)
 
     def _order(self, boot, action):
-        if self.lose_next and not self.is_dark:
+        if self.lose_next and not self.is_unresponsive:
             self.lose_next -= 1
             return self._carry_out_unanswered(boot, action)
         return self._call(boot, action)
@@ -240,7 +240,7 @@
                 action()
 
     def _call(self, boot, action, timeout_s=TIMEOUT_S):
-        if self.is_dark:
+        if self.is_unresponsive:
             return self._fail(WorkerUnreachable('dark'), TIMEOUT_S)
         if self.is_down:
             return self._fail(WorkerUnreachable('refused'), CALL_S)
@@ -293,7 +293,7 @@
             most = self.clock_ms() + HOLD_MAX_MS
             self.hold_ms = max(self.hold_ms, min(until_ms, most))
 
-    def _look(self, request):
+    def _poll(self, request):
         if request.fence < self.fence and not self.answers_when_fenced:
             raise WorkerFenced('a higher fence was seen')
         if request.fence >= self.fence:
@@ -312,8 +312,10 @@
             if end.number > recorded:
                 continue
             if end.number not in self.listed:
-                self.book.broken.append(f'{self.name}: unread {end} is dropped')
-            self.book.noted(end.task, end.attempt, end.how)
+                self.run_recorder.broken.append(
+                    f'{self.name}: unread {end} is dropped'
+                )
+            self.run_recorder.noted(end.task, end.attempt, end.how)
         self.ends = [end for end in self.ends if end.number > recorded]
 
     def _start(self, start):
@@ -336,7 +338,7 @@
         ends_at = self.reactor.seconds() + self.work_ms(start.task) / SECOND_MS
         run = Run(start.task, start.attempt, ends_at, start.checkpoint)
         self.runs[start.task] = run
-        self.book.started(self.reactor.seconds(), self, run)
+        self.run_recorder.started(self.reactor.seconds(), self, run)
         self._check_room()
         if self.kills(start.task):
             self.reactor.callLater(
@@ -348,17 +350,19 @@
         return StartOutcome.STARTED
 
     def _has_ticket(self, start):
-        if start.task.split('.')[0] not in self.book.advised:
+        if start.task.split('.')[0] not in self.run_recorder.advised:
             return True
         return self.advice.accepts(start.task, self.boot, start.ticket)
 
     def _check_room(self):
         used = Size()
         for run in self.runs.values():
-            used = used.plus(self.book.sizes[run.task.split('.')[0]])
+            used = used.plus(self.run_recorder.sizes[run.task.split('.')[0]])
         room = self.kept_room or self.room
         if not used.fits_in(room):
-            self.book.broken.append(f'{self.name} is over its room: {used}')
+            self.run_recorder.broken.append(
+                f'{self.name} is over its room: {used}'
+            )
 
     def _stop(self, fence, task, attempt):
         if fence < self.fence:
@@ -376,7 +380,7 @@
         self.ends.append(
             EndRow(self.number, run.task, run.number, how, run.checkpoint)
         )
-        self.book.ended(self.reactor.seconds(), self, run, how)
+        self.run_recorder.ended(self.reactor.seconds(), self, run, how)
 
 
 def _ignore(_outcome):
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -28,7 +28,7 @@
 )
 from hyssopring.web_client import _BytesProducer
 from standins.jobs.rows import MemoryRows
-from standins.jobs.book import Book
+from standins.jobs.run_recorder import RunRecorder
 from standins.jobs.worker import SimWorker
 from standins.runner_wire import RunnerCalls, report_fields
 
@@ -188,7 +188,7 @@
 
     def _record_size(self, task):
         """Record a task without resources, as its size is not checked."""
-        sizes = self.calls.worker.book.sizes
+        sizes = self.calls.worker.run_recorder.sizes
         sizes.setdefault(task.split('.')[0], Size())
 
     def _call_worker(self, request, wait_ms, worker_id, body):
@@ -245,10 +245,13 @@
     rows.rows[row_key] = Row(row_key, json.dumps(config['configuration']), 1)
     host, port = parse_address(config['store'])
     reactor.listenTCP(port, Site(StoreResource(rows)), interface=host)
-    book = Book()
+    run_recorder = RunRecorder()
     for number, runner in enumerate(config['runners']):
         worker = SimWorker(
-            reactor, f'runner-{number}', book, lambda task: TASK_DURATION_MS
+            reactor,
+            f'runner-{number}',
+            run_recorder,
+            lambda task: TASK_DURATION_MS,
         )
         host, port = parse_address(runner['app'])
         reactor.listenTCP(port, Site(RunnerResource(worker)), interface=host)
--- a/tests/test_border_rows.py
+++ b/tests/test_border_rows.py
@@ -163,7 +163,7 @@
     """Other jobs are found both by a poll and by the next owner."""
     deployment = settled()
     job = a_job(9, steps=((2, ()),))
-    deployment.book.sizes[job.job_id] = job.steps[0].reserved_size
+    deployment.run_recorder.sizes[job.job_id] = job.steps[0].reserved_size
     put(deployment, job_key(JOB.job_id), text)
     put(deployment, job_key(job.job_id), JobRow(job, 0).to_text())
     if is_history_lost:
@@ -171,7 +171,7 @@
     deployment.run(6)
     assert deployment.state(job.job_id, deployment.owner) is JobState.COMPLETED
     late = a_job(10, steps=((2, ()),))
-    deployment.book.sizes[late.job_id] = late.steps[0].reserved_size
+    deployment.run_recorder.sizes[late.job_id] = late.steps[0].reserved_size
     deployment.kill_entry(deployment.owner)
     put(deployment, job_key(late.job_id), JobRow(late, 0).to_text())
     deployment.run(9)
@@ -184,7 +184,7 @@
 
 def test_job_whose_row_is_repaired_runs():
     deployment = settled()
-    deployment.book.sizes[JOB.job_id] = JOB.steps[0].reserved_size
+    deployment.run_recorder.sizes[JOB.job_id] = JOB.steps[0].reserved_size
     put(deployment, job_key(JOB.job_id), 'malformed')
     deployment.run(4)
     put(deployment, job_key(JOB.job_id), JobRow(JOB, 0).to_text())
@@ -217,7 +217,7 @@
     deployment.run(4)
     assert len(starts_of(deployment, done)) == 2
     other = a_job(4, steps=((2, ()),))
-    deployment.book.sizes[other.job_id] = other.steps[0].reserved_size
+    deployment.run_recorder.sizes[other.job_id] = other.steps[0].reserved_size
     deployment.kill_entry(deployment.owner)
     put(deployment, progress_key(done.job_id), text)
     put(deployment, job_key(other.job_id), JobRow(other, 0).to_text())
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -216,7 +216,7 @@
     """The worker lists a row without a task name in place of the task's."""
     deployment = settled(work_ms=lambda task: 6000)
     for worker in deployment.workers:
-        worker._look = hide_rows(worker, worker._look)
+        worker._poll = hide_rows(worker, worker._poll)
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
     deployment.run(5)
--- a/tests/test_colocation_bench.py
+++ b/tests/test_colocation_bench.py
@@ -10,7 +10,7 @@
 from bench.colocation_variants import AS_IT_IS
 from hyssopring.jobs.model import Size, Step
 from hyssopring.jobs.worker_port import StartRequest
-from standins.jobs.book import Book
+from standins.jobs.run_recorder import RunRecorder
 from standins.jobs.interference import Interference
 from standins.jobs.shared_worker import KeeperTimes, SharedWorker
 
@@ -52,19 +52,19 @@
 
 def worker_of(cores):
     """Return a worker that has run one task of each step for a second."""
-    reactor, book = Clock(), Book()
+    reactor, run_recorder = Clock(), RunRecorder()
     interference = Interference(1)
     worker = SharedWorker(
         reactor,
         'worker-0',
-        book,
+        run_recorder,
         Size(cores * 1000, 16_000, 0),
         interference,
         Steps(interference),
     )
     for task in ('k.0.0.0', 'f.0.0.0'):
         start = StartRequest(worker.boot, 1, task, 1, 'x', '', 100_000)
-        book.sizes[task.split('.')[0]] = Size()
+        run_recorder.sizes[task.split('.')[0]] = Size()
         worker.start(start)
     run(reactor, worker, 1)
     return reactor, worker
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -18,7 +18,9 @@
     deployment.run(4)
     assert outcomes[0].is_ok()
     assert deployment.state(job.job_id) is JobState.COMPLETED
-    first_ends = [end[0] for end in deployment.book.ends if '.0.0.' in end[1]]
+    first_ends = [
+        end[0] for end in deployment.run_recorder.ends if '.0.0.' in end[1]
+    ]
     second_starts = [
         row[0] for row in starts_of(deployment, job) if '.0.1.' in row[2]
     ]
--- a/tests/test_jobs_absences.py
+++ b/tests/test_jobs_absences.py
@@ -141,10 +141,10 @@
     """
     deployment, job = deploy_keepers()
     worker = deployment.workers[0]
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.run(4)
     assert AgentRow.from_text(row_text(deployment)).is_suspended
-    worker.is_dark = False
+    worker.is_unresponsive = False
     deployment.run(2)
     assert not AgentRow.from_text(row_text(deployment)).is_suspended
     assert worker.runs
--- a/tests/test_jobs_advice.py
+++ b/tests/test_jobs_advice.py
@@ -80,7 +80,9 @@
     deployment.run(6)
     second = f'{job.job_id}.0.1'
     asked_at = queries_since(deployment, 0, second)[0][0]
-    first_ends = [end[0] for end in deployment.book.ends if '.0.0.' in end[1]]
+    first_ends = [
+        end[0] for end in deployment.run_recorder.ends if '.0.0.' in end[1]
+    ]
     starts = [row[0] for row in starts_of(deployment, job) if second in row[2]]
     assert asked_at < min(first_ends)
     assert min(starts) - max(first_ends) < 0.1
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -109,7 +109,7 @@
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
     deployment.run(1)
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.run(8)
     restarts = [row for row in starts_of(deployment, job) if row[3] > 1]
     assert len(restarts) == 2
@@ -150,10 +150,10 @@
     deployment.run(1)
     deployment.kill_agent('agent-0')
     deployment.run(1)
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.start_agent('agent-0', deployment.workers[0])
     deployment.run(1)
-    deployment.workers[0].is_dark = False
+    deployment.workers[0].is_unresponsive = False
     deployment.run(12)
     assert len(starts_of(deployment, job)) == 4
     assert deployment.state(job.job_id) is JobState.COMPLETED
@@ -174,7 +174,7 @@
     for index in range(3):
         task = f'{1:016x}.0.0.{index}'
         facts = TaskFacts(task, 1, 6000, 1000, 0, 0, False, '')
-        deployment.book.sizes[f'{1:016x}'] = Size(6000, 1000, 0)
+        deployment.run_recorder.sizes[f'{1:016x}'] = Size(6000, 1000, 0)
         order = StartOrder(
             0, epoch, agent.worker.boot, 'x', '', facts, connection
         )
--- a/tests/test_jobs_crashing.py
+++ b/tests/test_jobs_crashing.py
@@ -46,11 +46,11 @@
 
 
 def starts_of_first(deployment):
-    return [row for row in deployment.book.starts if is_first(row[2])]
+    return [row for row in deployment.run_recorder.starts if is_first(row[2])]
 
 
 def crash_count(deployment):
-    return sum(map(len, deployment.book.kills.values()))
+    return sum(map(len, deployment.run_recorder.kills.values()))
 
 
 def run_until_crashes(deployment, count):
@@ -247,7 +247,7 @@
 def crash_losses(deployment, job):
     return sum(
         end[1].startswith(job.job_id) and end[3] == 'crash'
-        for end in deployment.book.ends
+        for end in deployment.run_recorder.ends
     )
 
 
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -86,7 +86,7 @@
     for run in list(worker.runs.values()):
         worker.end(run, AttemptEnd.STOPPED)
     deployment.run(1)
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.stop_agent(f'agent-{number}')
     deployment.run(6)
     assert keepers_running(deployment) == 2
@@ -103,7 +103,7 @@
     agent = deployment.agents[f'agent-{number}']
     deployment.entries[deployment.owner].core.release()
     agent.core.monitor.withdraw(worker.boot)
-    worker.is_dark = True
+    worker.is_unresponsive = True
     for run in list(worker.runs.values()):
         worker.end(run, AttemptEnd.STOPPED)
     deployment.run(1)
@@ -148,9 +148,9 @@
     deployment.run(1)
     deployment.start_agent('agent-0', worker)
     deployment.run(0.1)
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.run(0.8)
-    worker.is_dark = False
+    worker.is_unresponsive = False
     deployment.run(8)
     assert len(starts_of(deployment, job)) == 4
 
--- a/tests/test_jobs_former_owners.py
+++ b/tests/test_jobs_former_owners.py
@@ -52,12 +52,12 @@
     runs_at = busy_worker(deployment)
     deployment.block(f'agent-{idle_worker(deployment)}', successor.name)
     former.has_peers = False
-    deployment.rows.shunned.add(former.name)
+    deployment.rows.rejected_clients.add(former.name)
     run_until_taken(deployment, [successor])
     deployment.run(1)
     deployment.block(f'agent-{runs_at}', former.name)
     deployment.run(18)
-    deployment.rows.shunned.discard(former.name)
+    deployment.rows.rejected_clients.discard(former.name)
     deployment.run(10)
 
 
--- a/tests/test_jobs_lasting_trials.py
+++ b/tests/test_jobs_lasting_trials.py
@@ -39,7 +39,10 @@
     for _step in range(400):
         rule.run(0.05)
         recent = max(began_at, deployment.reactor.seconds() - 0.5)
-        if sum(row[0] >= recent for row in deployment.book.starts) >= count:
+        if (
+            sum(row[0] >= recent for row in deployment.run_recorder.starts)
+            >= count
+        ):
             return
     raise AssertionError('the tasks do not start')
 
@@ -81,7 +84,7 @@
     number = max(range(3), key=lambda each: len(deployment.workers[each].runs))
     deployment.kill_agent(f'agent-{number}')
     deployment.workers[number].crash()
-    deployment.workers[number].is_dark = True
+    deployment.workers[number].is_unresponsive = True
     rule.disturb()
     rule.run(CALM_S)
     assert not rule.lost
@@ -96,7 +99,9 @@
             crash(worker, rule, away_s=1)
     ended_at = deployment.reactor.seconds()
     rule.run(CALM_S)
-    late = [row for row in deployment.book.starts if row[0] > ended_at + 9]
+    late = [
+        row for row in deployment.run_recorder.starts if row[0] > ended_at + 9
+    ]
     assert not late
     assert not rule.lost
 
--- a/tests/test_jobs_lasting_waits.py
+++ b/tests/test_jobs_lasting_waits.py
@@ -32,7 +32,7 @@
 
 def lose_worker(worker, rule):
     worker.crash()
-    worker.is_dark = True
+    worker.is_unresponsive = True
     rule.disturb()
 
 
@@ -94,8 +94,10 @@
         delay_ticks(deployment, owner)
     wait_ms = owner.core.owner.shards.by_shard[0].former.wait_ms
     rule.run(wait_ms / MILLIS_PER_SECOND + MARGIN_S)
-    keeper_tasks = deployment.book.keepers
-    running = {task for task in keeper_tasks if deployment.book.running[task]}
+    keeper_tasks = deployment.run_recorder.keepers
+    running = {
+        task for task in keeper_tasks if deployment.run_recorder.running[task]
+    }
     assert running == keeper_tasks
 
 
--- a/tests/test_jobs_locations.py
+++ b/tests/test_jobs_locations.py
@@ -222,7 +222,7 @@
     former_number = worker_number_of(deployment, task)
     former = deployment.entries[deployment.owner]
     former.has_peers = False
-    deployment.rows.shunned.add(former.name)
+    deployment.rows.rejected_clients.add(former.name)
     owned = run_until_loaded(deployment, 2)
     assert owned.former.may_act
     deployment.run(1)
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -145,7 +145,7 @@
     )
     agent.core.table.remove(task, agent.core.table.by_task[task].number)
     deployment.workers[0].runs.pop(task)
-    deployment.book.running[task].clear()
+    deployment.run_recorder.running[task].clear()
     deployment.run(3)
     assert len(starts_of(deployment, job)) == 2
 
@@ -233,7 +233,7 @@
     (placed,) = fleet.by_agent['agent-0'].placed_by_task.values()
     placed.number = 0
     deployment.run(4)
-    assert [row[3] for row in deployment.book.ends] == [AttemptEnd.DONE]
+    assert [row[3] for row in deployment.run_recorder.ends] == [AttemptEnd.DONE]
 
 
 def test_a_report_that_counts_for_another_connection_ends_nothing():
@@ -260,7 +260,7 @@
     monitor.on_hold_expired = lambda: expired_at.append(
         deployment.reactor.seconds()
     )
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.run(0.7)
     monitor._answered_at -= 9000
     monitor._hold_until -= 9000
--- a/tests/test_jobs_lost_vms.py
+++ b/tests/test_jobs_lost_vms.py
@@ -28,7 +28,7 @@
     """Return the indices of the running tasks."""
     return {
         int(task.rpartition('.')[2])
-        for task, runs in deployment.book.running.items()
+        for task, runs in deployment.run_recorder.running.items()
         if runs and task.startswith(job.job_id)
     }
 
@@ -38,7 +38,7 @@
     worker = deployment.workers[number]
     lost = {int(task.rpartition('.')[2]) for task in worker.runs}
     worker.crash()
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.kill_agent(f'agent-{number}')
     return lost
 
@@ -78,14 +78,14 @@
         if deployment.agents[name].is_alive:
             deployment.kill_agent(name)
         worker.crash()
-        worker.is_dark = True
+        worker.is_unresponsive = True
         if number not in lost_numbers:
             deployment.reactor.callLater(1, power_up, deployment, number)
 
 
 def power_up(deployment, number):
     worker = deployment.workers[number]
-    worker.is_dark = False
+    worker.is_unresponsive = False
     deployment.start_agent(f'agent-{number}', worker)
 
 
@@ -160,7 +160,7 @@
     deployment, job = with_keeper(5, per_worker=2)
     died_at = deployment.reactor.seconds()
     deployment.workers[LOST_NUMBER].crash()
-    deployment.workers[LOST_NUMBER].is_dark = True
+    deployment.workers[LOST_NUMBER].is_unresponsive = True
     deployment.run(3.5)
     deployment.stop_agent(f'agent-{LOST_NUMBER}')
     left_s = died_at + 7.5 - deployment.reactor.seconds()
@@ -187,7 +187,7 @@
     died_at = deployment.reactor.seconds()
     assert deployment.workers[LOST_NUMBER].runs
     deployment.workers[LOST_NUMBER].crash()
-    deployment.workers[LOST_NUMBER].is_dark = True
+    deployment.workers[LOST_NUMBER].is_unresponsive = True
     deployment.run(3.5)
     deployment.stop_agent(f'agent-{LOST_NUMBER}')
     deployment.run(2)
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -127,7 +127,7 @@
     for run in list(worker.runs.values()):
         worker.end(run, AttemptEnd.STOPPED)
     deployment.run(0.7)
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.stop_agent(f'agent-{number}')
     deployment.run(4)
     owned = deployment.entries[successor.name].core.owner.shards.by_shard[0]
@@ -145,7 +145,7 @@
     job = start_job(deployment, first)
     number = busy_worker(deployment)
     deployment.workers[number].crash()
-    deployment.workers[number].is_dark = True
+    deployment.workers[number].is_unresponsive = True
     deployment.kill_agent(f'agent-{number}')
     deployment.kill_entry(first.name)
     second = run_until_taken(deployment, others)
--- a/tests/test_jobs_owners.py
+++ b/tests/test_jobs_owners.py
@@ -90,14 +90,14 @@
     job = a_job(steps=((3, ()), (3, (0,))))
     deployment.submit(job)
     deployment.run(1)
-    shunned = deployment.owner
-    deployment.entries[shunned].has_peers = False
-    deployment.rows.shunned.add(shunned)
+    rejected_client = deployment.owner
+    deployment.entries[rejected_client].has_peers = False
+    deployment.rows.rejected_clients.add(rejected_client)
     deployment.run(14)
     owners = [
         name
         for name, entry in deployment.entries.items()
-        if name != shunned and entry.core.owner.shards.by_shard
+        if name != rejected_client and entry.core.owner.shards.by_shard
     ]
     assert len(owners) == 1
     assert deployment.state(job.job_id, owners[0]) is JobState.COMPLETED
--- a/tests/test_jobs_relay.py
+++ b/tests/test_jobs_relay.py
@@ -29,7 +29,7 @@
     """
     deployment = settled()
     owner = deployment.owner
-    deployment.rows.shunned.add(owner)
+    deployment.rows.rejected_clients.add(owner)
     job = a_job(steps=((2, ()), (2, (0,))))
     outcomes = deployment.submit(job, other_entry(deployment, owner))
     deployment.run(2.5)
@@ -45,7 +45,7 @@
     """A caller whose entry alone is rejected gets no error."""
     deployment = settled()
     rejected_entry = other_entry(deployment, deployment.owner)
-    deployment.rows.shunned.add(rejected_entry)
+    deployment.rows.rejected_clients.add(rejected_entry)
     job = a_job()
     outcomes = deployment.submit(job, rejected_entry)
     deployment.run(0.2)
@@ -57,9 +57,9 @@
 def test_direct_calls_resume_once_the_store_serves_again():
     deployment = settled()
     owner = deployment.owner
-    deployment.rows.shunned.add(owner)
+    deployment.rows.rejected_clients.add(owner)
     deployment.run(3)
-    deployment.rows.shunned.clear()
+    deployment.rows.rejected_clients.clear()
     deployment.run(3)
     deployment.entries[owner].has_peers = False
     deployment.run(12)
@@ -127,7 +127,7 @@
     """
     deployment = settled()
     rejected_entry = other_entry(deployment, deployment.owner)
-    deployment.rows.shunned.add(rejected_entry)
+    deployment.rows.rejected_clients.add(rejected_entry)
     deployment.run(0.05)
     deployment.rows.lose_next = 1
     deployment.rows.late_s = late_s
--- a/tests/test_jobs_returning_workers.py
+++ b/tests/test_jobs_returning_workers.py
@@ -169,11 +169,11 @@
             break
         deployment.run(0.01)
     assert lost
-    worker.has_beats = False
+    worker.can_announce = False
     job, _worker = lose_one_start(deployment, late_s=0.1)
     worker.crash()
     deployment.run(1.5)
-    worker.has_beats = True
+    worker.can_announce = True
     deployment.run(6)
     assert deployment.state(job.job_id) is JobState.COMPLETED
     assert len(starts_of(deployment, job)) == 1
@@ -201,7 +201,7 @@
     worker = deployment.workers[0]
     assert worker.hold_ms > HIGH_CLOCK_MS
     worker.clocks_ms = itertools.repeat(1000)
-    worker.has_beats = False
+    worker.can_announce = False
     worker.go_down(0.3)
     deployment.run(1.2)
     assert not worker.is_down and worker.hold_ms == 0
--- a/tests/test_jobs_rooms.py
+++ b/tests/test_jobs_rooms.py
@@ -53,7 +53,7 @@
 def test_expired_announcement_counts_as_no_capacity():
     """Guards against starts into capacity that was announced long ago."""
     deployment, worker = with_one_worker()
-    worker.has_beats = False
+    worker.can_announce = False
     deployment.run(1)
     worker.resize(SMALL)
     deployment.run(6)
@@ -61,7 +61,7 @@
     deployment.submit(job)
     deployment.run(3)
     assert not running_count(worker)
-    worker.has_beats = True
+    worker.can_announce = True
     deployment.run(3)
     assert running_count(worker) == 1
 
--- a/tests/test_jobs_takeover.py
+++ b/tests/test_jobs_takeover.py
@@ -34,7 +34,7 @@
         for number, worker in enumerate(deployment.workers)
         if not worker.runs
     )
-    deployment.workers[idle].is_dark = True
+    deployment.workers[idle].is_unresponsive = True
     deployment.kill_agent(f'agent-{idle}')
     deployment.run(10)
     replace_owner(deployment)
@@ -52,7 +52,7 @@
     there is capacity.
     """
     deployment = settled(workers=3, work_ms=lambda task: 17_000)
-    deployment.workers[2].is_dark = True
+    deployment.workers[2].is_unresponsive = True
     deployment.kill_agent('agent-2')
     deployment.run(10)
     deployment.submit(a_job(1, steps=((32, ()),)))
@@ -76,7 +76,7 @@
     job = a_job(steps=((3, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
     deployment.run(1)
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.kill_agent('agent-0')
     replace_owner(deployment)
     before = len(starts_of(deployment, job))
@@ -116,7 +116,7 @@
     job = a_job(steps=((4, ()),))
     deployment.submit(job)
     deployment.run(1)
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.kill_agent('agent-0')
     deployment.kill_entry('entry-0')
     deployment.run(1)
@@ -249,7 +249,7 @@
     owned.add(JobRow(record.job, record.accepted_ms), is_inherited=True)
     deployment.run(1)
     assert len(starts_of(deployment, job)) == 2
-    assert not deployment.book.ends
+    assert not deployment.run_recorder.ends
 
 
 def test_an_owner_drops_its_shard_when_an_agent_reports_a_newer_epoch():
@@ -264,7 +264,7 @@
     job = replace(a_job(steps=((1, ()),)), schedule=Schedule(first_ms, 500, 20))
     deployment.submit(job)
     former = deployment.owner
-    deployment.rows.shunned.add(former)
+    deployment.rows.rejected_clients.add(former)
     deployment.entries[former].has_peers = False
     deployment.run(7)
     assert not deployment.entries[former].core.owner.shards.by_shard
@@ -340,7 +340,7 @@
     lasts. The former owner must have removed it from the roster.
     """
     deployment, job = deploy_two_keepers()
-    deployment.workers[idle_worker(deployment)].is_dark = True
+    deployment.workers[idle_worker(deployment)].is_unresponsive = True
     deployment.run(10)
     lose_power(deployment)
     deployment.run(4.5)
@@ -358,7 +358,7 @@
     number = next(
         number for number, each in enumerate(deployment.workers) if each.runs
     )
-    deployment.workers[number].is_dark = True
+    deployment.workers[number].is_unresponsive = True
     deployment.run(4)
     deployment.kill_agent(f'agent-{number}')
     assert f'agent-{number}' in listed_agents(deployment)
@@ -375,14 +375,14 @@
     """
     deployment = settled(workers=1, work_ms=lambda task: 60_000)
     worker = deployment.workers[0]
-    worker.is_dark = True
+    worker.is_unresponsive = True
     deployment.run(10)
     assert not listed_agents(deployment)
     job = a_job(steps=((1, ()),))
     deployment.submit(job)
     deployment.run(0.5)
     deployment.rows.is_down = True
-    worker.is_dark = False
+    worker.is_unresponsive = False
     worker.crash()
     deployment.run(3)
     assert not starts_of(deployment, job)
@@ -414,7 +414,7 @@
     """
     deployment = settled(workers=1, work_ms=lambda task: 60_000)
     core = deployment.entries[deployment.owner].core
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
     deployment.run(7)
     fleet_worker = core.fleet.by_agent['agent-0']
     assert fleet_worker.report.silent_ms > HOLD_EXPIRY_MS
--- a/tests/test_jobs_waits.py
+++ b/tests/test_jobs_waits.py
@@ -43,7 +43,7 @@
 
 def lose_vm(deployment, number):
     """Lose a VM with its worker and its agent."""
-    deployment.workers[number].is_dark = True
+    deployment.workers[number].is_unresponsive = True
     deployment.kill_agent(f'agent-{number}')
 
 
--- a/tests/test_keeper_watch.py
+++ b/tests/test_keeper_watch.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hyssopring.jobs.model import Job, Queue, Size, Step
-from standins.jobs.book import Book, Run
+from standins.jobs.run_recorder import Run, RunRecorder
 from standins.jobs.keeper_watch import KeeperWatch
 
 SIZE = Size(1000, 1000, 0)
@@ -28,8 +28,8 @@
 
     def __init__(self, rooms=2):
         self.now = ENDED_AT
-        self.book = Book()
-        self.book.sizes[JOB.job_id] = SIZE
+        self.run_recorder = RunRecorder()
+        self.run_recorder.sizes[JOB.job_id] = SIZE
         self.reactor = SimpleNamespace(seconds=lambda: self.now)
         self.stillness = SimpleNamespace(since=0, silent_at=0, check=list)
         room = Size(1000 * rooms, 1000 * rooms, 0)
@@ -41,7 +41,7 @@
                     name=f'worker of {name}',
                     boot=name,
                     is_down=False,
-                    is_dark=False,
+                    is_unresponsive=False,
                     is_leaving=False,
                     runs={},
                     room=room,
@@ -56,11 +56,11 @@
 
     def run_on(self, name):
         worker = self.agents[name].worker
-        self.book.started(self.now, worker, Run(TASK, 1, 0, ''))
+        self.run_recorder.started(self.now, worker, Run(TASK, 1, 0, ''))
 
     def end_on(self, name):
         worker = self.agents[name].worker
-        self.book.ended(self.now, worker, Run(TASK, 1, 0, ''), 'crash')
+        self.run_recorder.ended(self.now, worker, Run(TASK, 1, 0, ''), 'crash')
 
     def lose(self, name):
         self.agents[name].is_alive = False
@@ -84,7 +84,7 @@
 def test_a_task_that_never_ran_counts_from_when_it_was_owed():
     """Guards against a first start that is not monitored."""
     scene = Scene()
-    scene.book.last_run_by_task.clear()
+    scene.run_recorder.last_run_by_task.clear()
     assert not scene.until(18.9).missed
     assert scene.until(19.5).elsewhere
 
--- a/tests/test_lost_vms.py
+++ b/tests/test_lost_vms.py
@@ -22,7 +22,7 @@
         owner = SimpleNamespace(shards=SimpleNamespace(by_shard=self.shards))
         core = SimpleNamespace(owner=owner)
         self.entries = {'entry': SimpleNamespace(is_alive=True, core=core)}
-        worker = SimpleNamespace(name=VM, is_down=False, is_dark=False)
+        worker = SimpleNamespace(name=VM, is_down=False, is_unresponsive=False)
         self.agent = SimpleNamespace(is_alive=True, worker=worker)
         self.agents = {'agent': self.agent}
         self.vms = LostVms(self, self.stillness)
--- a/tests/test_soak_platform.py
+++ b/tests/test_soak_platform.py
@@ -22,7 +22,7 @@
     _fleet,
     draw_plan,
 )
-from standins.jobs.book import Run
+from standins.jobs.run_recorder import Run
 from standins.jobs.rows import MemoryRows
 from standins.jobs.worker import SimWorker
 from standins.programs import ROOT
@@ -54,8 +54,8 @@
 
 
 class _World:
-    def __init__(self, book):
-        self.book = book
+    def __init__(self, run_recorder):
+        self.run_recorder = run_recorder
         self.fronts = {'entry-0': 0}
         self.front_ports = [0]
         self.host = ''
@@ -63,9 +63,9 @@
 
 def _callers():
     from soak.platform.callers import Callers
-    from soak.platform.world import SettlingBook
+    from soak.platform.world import SettlingRecorder
 
-    callers = Callers(_World(SettlingBook()))
+    callers = Callers(_World(SettlingRecorder()))
     for job_id in ('a', 'b'):
         callers._expect(PlannedJob(0, job_id, (2,), 500, job_id == 'b', True))
     return callers
@@ -94,7 +94,7 @@
     )
     assert not callers._is_settled(job, True, 504, {'error': 'outcome-unknown'})
     assert callers._is_settled(job, True, 503, {'error': 'store-unavailable'})
-    callers.book.starts.append((0, 'agent-0', 'a.0.0.0', 1))
+    callers.run_recorder.starts.append((0, 'agent-0', 'a.0.0.0', 1))
     assert callers.check() == ['a was refused and has started']
 
 
@@ -183,10 +183,10 @@
     """A world with two agents, and one keeper on the first."""
 
     def __init__(self, clock):
-        from soak.platform.world import SettlingBook
+        from soak.platform.world import SettlingRecorder
 
         names = ['entry-0', 'agent-0', 'agent-1']
-        self.book = SettlingBook()
+        self.run_recorder = SettlingRecorder()
         self.rows = MemoryRows(clock)
         self.link = _Link()
         self.conditions_by_link = {}
@@ -197,7 +197,7 @@
         self.host = ''
         self.front_ports = [0]
         self.workers = {
-            name: SimWorker(clock, name, self.book, lambda task: 10**6)
+            name: SimWorker(clock, name, self.run_recorder, lambda task: 10**6)
             for name in self.agents
         }
 
@@ -229,7 +229,7 @@
     def start_on(self, name):
         run = Run('a.0.0.0', 1, 10**6, '')
         self.world.workers[name].runs[run.task] = run
-        self.world.book.started(
+        self.world.run_recorder.started(
             self.clock.seconds(), self.world.workers[name], run
         )
 
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -38,7 +38,7 @@
 
 
 def go_dark(deployment):
-    deployment.workers[0].is_dark = True
+    deployment.workers[0].is_unresponsive = True
 
 
 def slow_worker(deployment):
@@ -54,7 +54,7 @@
 
 
 def shun(deployment):
-    deployment.rows.shunned.add('entry-0')
+    deployment.rows.rejected_clients.add('entry-0')
 
 
 def freeze(deployment):
