--- a/bench/colocation_day.py
+++ b/bench/colocation_day.py
@@ -91,7 +91,7 @@
         return SharedWorker(
             self.reactor,
             name,
-            self.book,
+            self.run_recorder,
             Size(cores * MILLIS, MEMORY_MB, 0),
             self.day.interference,
             self.day,
@@ -164,7 +164,7 @@
     def _run(self, seconds):
         self.deployment.run(seconds)
         self.keeper_s += self.keepers * seconds
-        ends = self.deployment.book.ends
+        ends = self.deployment.run_recorder.ends
         for at, task, _number, how in ends[self._ends_seen :]:
             if how is AttemptEnd.DONE:
                 self._record_done(
@@ -185,12 +185,12 @@
             wait_s = self.random.uniform(2, LOAD_S - 8)
             worker = self.random.choice(self.deployment.workers)
             later(wait_s, self._start_outage, worker)
-            later(wait_s + OUTAGE_S, setattr, worker, 'is_dark', False)
+            later(wait_s + OUTAGE_S, setattr, worker, 'is_unresponsive', False)
 
     @staticmethod
     def _start_outage(worker):
         worker.crash()
-        worker.is_dark = True
+        worker.is_unresponsive = True
 
     def _submit_keepers(self):
         """Submit keepers until their share of all cores is reserved."""
--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -66,7 +66,7 @@
         """Submit the crashing job and return its cost."""
         self._deployment.submit(self._job)
         away_s = self._run(self._seconds)
-        record = self._deployment.book
+        record = self._deployment.run_recorder
         return Cost(
             sum(map(len, record.kills.values())),
             away_s,
@@ -96,7 +96,7 @@
         return self._deployment.reactor.seconds()
 
     def _running_keepers(self):
-        running = self._deployment.book.running
+        running = self._deployment.run_recorder.running
         return sum(
             bool(running.get(str(task))) for task in self._keepers.tasks(0, 0)
         )
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -67,7 +67,7 @@
         A job that has not started counts with its wait until now.
         """
         started_at_by_job = {}
-        for row in self.deployment.book.starts:
+        for row in self.deployment.run_recorder.starts:
             started_at_by_job.setdefault(row[2].partition('.')[0], row[0])
         return [
             started_at_by_job.get(job_id, self.now) - tried_at
@@ -145,8 +145,10 @@
 
 def turn_the_owner_away(simulation):
     name = simulation.deployment.owner
-    simulation.deployment.rows.shunned.add(name)
-    simulation.later(OUTAGE_S, simulation.deployment.rows.shunned.discard, name)
+    simulation.deployment.rows.rejected_clients.add(name)
+    simulation.later(
+        OUTAGE_S, simulation.deployment.rows.rejected_clients.discard, name
+    )
 
 
 def freeze_owner(simulation):
