--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -15,7 +15,7 @@
 import fire
 
 from hyssopring.clock import MILLIS_PER_SECOND
-from standins.jobs import book
+from standins.jobs import run_recorder
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
 KEEPERS: Final = 12
@@ -129,7 +129,7 @@
 
 def _lift_crash_limit():
     """Raise the crash limit of the stand-in, to measure unbounded crashes."""
-    book.MOST_KILLS = 10**6
+    run_recorder.MOST_KILLS = 10**6
 
 
 if __name__ == '__main__':
