--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -103,7 +103,7 @@
         python = sys.executable
         self.spawn('table', [python, '-m', 'standins.table', self.table])
         for number, entry in enumerate(self.entries):
-            settings_path = self.write_settings(
+            settings_path = self.write(
                 f'entry-{number}',
                 {
                     'id': f'entry-{number}',
@@ -121,7 +121,7 @@
                 f'entry-{number}', [*self.binary, 'entry', settings_path]
             )
         for number, agent in enumerate(self.agents):
-            settings_path = self.write_settings(
+            settings_path = self.write(
                 f'agent-{number}',
                 {
                     'id': f'agent-{number}',
@@ -154,7 +154,7 @@
                 ],
             )
 
-    def write_settings(self, name, settings):
+    def write(self, name, settings):
         """Write a settings file; return its path."""
         path = self.work / f'{name}.json'
         path.write_text(
