--- a/bench/colocation_variants.py
+++ b/bench/colocation_variants.py
@@ -6,7 +6,7 @@
 
 from hyssopring.jobs import (
     interference,
-    moves,
+    task_mover,
     placement_option,
     pacing,
     planning,
@@ -90,7 +90,9 @@
         _patch(placement_option, '_is_interference_high', _never_high),
     ),
     'no starved rule': (_patch(planning, '_STARVED_MS', _NEVER_MS),),
-    'no relief': (_patch(moves.TaskMoves, 'relieve', _skip_relief),),
+    'no relief': (
+        _patch(task_mover.TaskMover, 'move_throttled_tasks', _skip_relief),
+    ),
     'first come first served': (_patch(planning, 'urgency', _urgency_by_age),),
     'by deadline': (_patch(planning, 'urgency', _urgency_by_deadline),),
     'by work left alone': (_patch(planning, 'urgency', _urgency_by_work),),
@@ -99,7 +101,7 @@
         _patch(placement_option, '_BEST_EFFORT_NEIGHBOR_PENALTY', 0),
     ),
     'fillers counted by what they ask for': (
-        _patch(PlacedAttempt, 'cpu_in_use', property(_reserved_cpu)),
+        _patch(PlacedAttempt, 'cpu_used_millis', property(_reserved_cpu)),
         _patch(
             PlacedAttempt,
             'cpu_at_full_pace',
--- a/bench/placement_policies.py
+++ b/bench/placement_policies.py
@@ -121,7 +121,7 @@
     if name in {'first fit', 'spread', 'all-knowing'}:
         planner._mitigation.share_control.review = lambda record: None
         planner._mitigation.tail_guard.review = lambda record, now: None
-        planner._mitigation._has_other_share = lambda record: False
+        planner._mitigation._has_share_mismatch = lambda record: False
     if name == 'first fit':
         worker_ranking.WorkerRanking._next_rack = _first_rack
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -33,7 +33,7 @@
     def utilization(self, service_name):
         return 1.0
 
-    def forget(self, record):
+    def remove_agent(self, record):
         """Baselines keep no state of calls."""
 
 
--- a/bench/slopes_cores.py
+++ b/bench/slopes_cores.py
@@ -317,15 +317,15 @@
         for index in range(entries)
     )
     directory.opened('10.0.0.1:7001', members[0].entry_id)
-    directory.learn(members[0].entry_id, members, ())
-    for address in directory.due():
+    directory.update_members(members[0].entry_id, members, ())
+    for address in directory.claim_due_addresses():
         member = next(known for known in members if known.address == address)
         directory.opened(address, member.entry_id)
-        directory.learn(member.entry_id, members, ())
+        directory.update_members(member.entry_id, members, ())
 
     def tick():
         clock.advance(100)
-        directory.due()
+        directory.claim_due_addresses()
         directory.surplus()
 
     return {'cpu': cost_ms(tick)}
--- a/hyssopring/agent/admission.py
+++ b/hyssopring/agent/admission.py
@@ -56,7 +56,7 @@
             return f'epoch {command.epoch} is not current'
         kind = TaskKind(command.kind)
         remaining_ms = (
-            self._leases.until(command.shard, kind) - self._clock.now()
+            self._leases.expiry_of(command.shard, kind) - self._clock.now()
         )
         return '' if remaining_ms > CHECKPOINT_LEAD_MS else 'no lease'
 
--- a/hyssopring/agent/attempt_tracker.py
+++ b/hyssopring/agent/attempt_tracker.py
@@ -87,7 +87,7 @@
     def start(self, attempt: Attempt) -> None:
         """Start an admitted attempt on the worker."""
         command = attempt.command
-        attempt.deadline = self._leases.until(command.shard, attempt.kind)
+        attempt.deadline = self._leases.expiry_of(command.shard, attempt.kind)
         log_event(
             Event.TASK_STARTED,
             task=command.task_id,
@@ -235,7 +235,7 @@
         self, attempt: Attempt, deadline_by_task: dict[str, float]
     ) -> None:
         command = attempt.command
-        lease_expires_at = self._leases.until(command.shard, attempt.kind)
+        lease_expires_at = self._leases.expiry_of(command.shard, attempt.kind)
         attempt.deadline = max(attempt.deadline, lease_expires_at)
         if attempt.deadline - self._clock.now() <= CHECKPOINT_LEAD_MS:
             log_event(Event.TASK_LAPSED, task=command.task_id)
--- a/hyssopring/agent/core.py
+++ b/hyssopring/agent/core.py
@@ -209,7 +209,9 @@
 
     @on_message.register
     def _on_entry_list(self, message: EntryList, entry_id: str) -> None:
-        self.directory.learn(entry_id, message.members, message.holders)
+        self.directory.update_members(
+            entry_id, message.members, message.holders
+        )
 
     @on_message.register
     def _on_configuration_query(
@@ -261,7 +263,7 @@
         for entry_id in self.sessions.due_entries(self._routing_state()):
             self._send_heartbeat(entry_id)
         self.directory.pin({status.shard for status in self.tasks.statuses()})
-        for source, members in self.directory.to_tell().items():
+        for source, members in self.directory.pending_announcements().items():
             self._links.send(source, EntryList(members))
 
     def closable_entries(self) -> list[str]:
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -99,7 +99,7 @@
         connection: InnerConnection,
     ) -> None:
         core = self.owner.core
-        if not core.directory.greets(self.address, message.entry_id):
+        if not core.directory.should_connect(self.address, message.entry_id):
             self.is_skipped = True
             connection.close()
             return
@@ -178,7 +178,7 @@
 
     def dial(self) -> None:
         """Dial entries that are due, close unneeded connections; call often."""
-        for address in self.core.directory.due():
+        for address in self.core.directory.claim_due_addresses():
             link = _Link(self, address)
             self._open_links.add(link)
             link.dial()
@@ -227,10 +227,10 @@
         self._open_links.discard(link)
         directory = self.core.directory
         if link.is_skipped:
-            directory.skipped(link.address)
+            directory.record_skipped(link.address)
         elif not link.entry_id:
             directory.closed(link.address, link.is_refused)
         elif self.is_current(link):
             self._link_by_entry.pop(link.entry_id)
-            directory.lost(link.entry_id)
+            directory.record_lost(link.entry_id)
             self.core.on_disconnected(link.entry_id)
--- a/hyssopring/entry/call_sender.py
+++ b/hyssopring/entry/call_sender.py
@@ -77,7 +77,7 @@
             service=pending.call.service_name,
             agent=attempt.agent_id,
             attempt=pending.sent_count,
-            why=choice.why,
+            why=choice.reason,
         )
         self.selector.on_sent(
             choice.backend,
--- a/hyssopring/entry/core.py
+++ b/hyssopring/entry/core.py
@@ -253,7 +253,7 @@
 
     @_dispatch.register
     def _on_entry_list(self, message: EntryList, record: AgentRecord) -> None:
-        self._roster.heard(message.members)
+        self._roster.add_reported(message.members)
 
     def tick(self) -> None:
         """Fail calls past their deadline and place waiting tasks."""
@@ -287,7 +287,7 @@
         A changed list of entries is sent to all connected agents.
         """
         registry = self.shards.registry
-        self._roster.listed(registry.members)
+        self._roster.set_registered(registry.members)
         entry_list = self._entry_list()
         if entry_list != self._sent_entry_list:
             self._sent_entry_list = entry_list
--- a/hyssopring/entry/liveness.py
+++ b/hyssopring/entry/liveness.py
@@ -59,11 +59,11 @@
             self._resumed_at = now_ms
             self._pinged_at.clear()
         self._checked_at = now_ms
-        return now_ms - max(record.heard_at, self._resumed_at)
+        return now_ms - max(record.last_received_at, self._resumed_at)
 
     def on_message(self, record: AgentRecord) -> None:
         """Record that an agent is alive, as any message shows."""
-        record.heard_at = self._clock.now()
+        record.last_received_at = self._clock.now()
         record.is_suspect = False
 
     def tick(self) -> None:
@@ -77,7 +77,7 @@
     def _check_pong(
         self, record: AgentRecord, pinged_at_ms: float | None
     ) -> None:
-        if pinged_at_ms is None or record.heard_at > pinged_at_ms:
+        if pinged_at_ms is None or record.last_received_at > pinged_at_ms:
             pinged_at_ms = self._ping(record)
         self._pinged_at[record.generation] = pinged_at_ms
         is_late = self._clock.now() - pinged_at_ms > _PONG_TIMEOUT_MS
--- a/hyssopring/entry/router.py
+++ b/hyssopring/entry/router.py
@@ -207,7 +207,7 @@
 
     def on_disconnect(self, record: AgentRecord) -> None:
         """Reset routing state of a disconnected agent, mark its calls lost."""
-        self.selector.forget(record)
+        self.selector.remove_agent(record)
         self._unconfirmed.on_disconnect(record)
 
     def tick(self) -> None:
--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -24,7 +24,7 @@
     StartOrder,
     StartRefusal,
     StopOrder,
-    TaskFacts,
+    TaskRequirements,
     WorkerReport,
 )
 from hyssopring.jobs.model import Size
@@ -143,7 +143,7 @@
         self.shutdown.announce(self._reported_at_by_entry)
 
     @singledispatchmethod
-    def take(self, message: JobsMessage, entry_id: str) -> None:
+    def handle_message(self, message: JobsMessage, entry_id: str) -> None:
         """Handle a message from an entry; log an unexpected type."""
         log_event(
             Event.PEER_ERROR,
@@ -151,7 +151,7 @@
             detail=f'unexpected {type(message).__name__}',
         )
 
-    @take.register
+    @handle_message.register
     def _handle_grant(self, grant: Grant, entry_id: str) -> None:
         self._leases.renew(
             entry_id,
@@ -160,7 +160,7 @@
             grant.ttl_ms,
         )
 
-    @take.register
+    @handle_message.register
     def _handle_report_request(
         self, request: ReportRequest, entry_id: str
     ) -> None:
@@ -169,19 +169,19 @@
             self._leases.observe_epoch(owned.shard, owned.reign, entry_id)
         self._report(entry_id)
 
-    @take.register
+    @handle_message.register
     def _handle_ends_recorded(self, ends: EndsRecorded, entry_id: str) -> None:
         if ends.boot != self.monitor.boot:
             return
         self._ends.forget(ends.numbers)
 
-    @take.register
-    def _handle_facts(self, facts: TaskFacts, entry_id: str) -> None:
+    @handle_message.register
+    def _handle_facts(self, facts: TaskRequirements, entry_id: str) -> None:
         attempt = self.table.by_task.get(facts.task)
         if attempt is not None and attempt.number == facts.attempt:
             attempt.facts = facts
 
-    @take.register
+    @handle_message.register
     def _handle_start(self, order: StartOrder, entry_id: str) -> None:
         facts = order.facts
         if not self._received_starts.record(entry_id, order.connection):
@@ -205,7 +205,7 @@
         self._orders.start(order, attempt)
         self._schedule_report()
 
-    @take.register
+    @handle_message.register
     def _handle_stop(self, order: StopOrder, entry_id: str) -> None:
         if not self._leases.observe_epoch(order.shard, order.reign, entry_id):
             return
@@ -228,7 +228,7 @@
             return 'no-grant'
         return self._task_refusal_reason(facts)
 
-    def _task_refusal_reason(self, facts: TaskFacts) -> str:
+    def _task_refusal_reason(self, facts: TaskRequirements) -> str:
         if facts.task in self.table.by_task:
             return RUNNING_HERE
         if self.table.is_closed(facts.task, facts.attempt):
@@ -253,7 +253,7 @@
         self,
         entry_id: str,
         shard: int,
-        facts: TaskFacts,
+        facts: TaskRequirements,
         reason: str,
     ) -> None:
         """Notify an entry that a start was not carried out."""
@@ -344,7 +344,7 @@
             listed_tasks.add(row.task)
             if row.task not in self.table.by_task:
                 has_changed = True
-            self.table.listed(row, now_ms)
+            self.table.update_listed(row, now_ms)
         if listing.is_complete:
             # A row that could not be parsed may belong to any attempt. An
             # attempt dropped by mistake would start again while it runs.
--- a/hyssopring/jobs/agent_leases.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -4,7 +4,7 @@
 from typing import Iterable
 
 from hyssopring.jobs.messages import ShardEpoch
-from hyssopring.jobs.times import GRANT_MS, REPORT_MS
+from hyssopring.jobs.times import GRANT_MS, REPORT_INTERVAL_MS
 
 __all__ = ('AgentLeases',)
 
@@ -102,4 +102,4 @@
 
     def is_due(self, now_ms: float, last_report_at: float) -> bool:
         """Whether the regular report is due."""
-        return now_ms - last_report_at >= REPORT_MS
+        return now_ms - last_report_at >= REPORT_INTERVAL_MS
--- a/hyssopring/jobs/announced_state.py
+++ b/hyssopring/jobs/announced_state.py
@@ -69,8 +69,8 @@
         self.service = announcement.service
         self.labels = announcement.labels
         self._announced_at = self._clock.now()
-        has_changed = announcement.room != self._capacity
-        self._capacity = announcement.room
+        has_changed = announcement.capacity != self._capacity
+        self._capacity = announcement.capacity
         if announcement.is_leaving:
             self._leave(announcement.remaining_ms)
         return has_changed
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Iterable
 
-from hyssopring.jobs.messages import AttemptReport, TaskFacts
+from hyssopring.jobs.messages import AttemptReport, TaskRequirements
 from hyssopring.jobs.model import Size
 from hyssopring.jobs.shards import shard_of_task
 from hyssopring.jobs.worker_port import Listing, WorkerRow
@@ -64,7 +64,7 @@
     shard: int
     phase: Phase
     ordered_at: float
-    facts: TaskFacts | None = None
+    facts: TaskRequirements | None = None
     checkpoint: str = ''
     percent: int = 0
     load: int = 0
@@ -139,7 +139,7 @@
         """Count an attempt against the worker's resources from now on."""
         self.by_task[attempt.task] = attempt
 
-    def listed(self, row: WorkerRow, now_ms: float) -> Attempt:
+    def update_listed(self, row: WorkerRow, now_ms: float) -> Attempt:
         """Update the attempt of a listed row, adding it if it is unknown."""
         known = self.by_task.get(row.task)
         if known is None or known.number < row.attempt:
--- a/hyssopring/jobs/crash_suspects.py
+++ b/hyssopring/jobs/crash_suspects.py
@@ -74,7 +74,7 @@
         self.worker_crashes = WorkerCrashes(clock, fleet)
 
     @property
-    def agents(self) -> Collection[str]:
+    def trial_agents(self) -> Collection[str]:
         """Return the IDs of the agents whose workers run a trial."""
         return self._trial_by_agent.keys()
 
@@ -205,7 +205,9 @@
         is_trial = end.how == AttemptEnd.CRASHED_IN_TRIAL.value
         if is_trial:
             self.worker_crashes.attribute_to_trial(worker.agent_id)
-        if self.worker_crashes.has_common_cause(worker.agent_id, self.agents):
+        if self.worker_crashes.has_common_cause(
+            worker.agent_id, self.trial_agents
+        ):
             return CrashCause.COMMON
         if is_trial:
             return CrashCause.ISOLATED
@@ -235,7 +237,7 @@
         if worker is None:
             return None
         placed = worker.placed_by_task.get(str(trial.task_name))
-        if placed is None or placed.number != trial.attempt:
+        if placed is None or placed.attempt != trial.attempt:
             return None
         return placed
 
--- a/hyssopring/jobs/documents.py
+++ b/hyssopring/jobs/documents.py
@@ -222,7 +222,7 @@
         except MalformedRowError:
             return cls(0, 0)
 
-    def next(self, former_epoch: int) -> 'RosterRow':
+    def for_next_owner(self, former_epoch: int) -> 'RosterRow':
         """Return the row of the owner after ``former_epoch``; 0 for none."""
         epoch = former_epoch + 1
         if not former_epoch:
--- a/hyssopring/jobs/end_table.py
+++ b/hyssopring/jobs/end_table.py
@@ -84,7 +84,7 @@
             started=' '.join(
                 f'{suspect.task}/{suspect.number}' for suspect in suspects
             ),
-            silent_ms=int(now_ms - past.heard_at),
+            silent_ms=int(now_ms - past.answered_at),
         )
 
     def skip(self, number: int) -> None:
--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -88,7 +88,7 @@
             reactor,
             clock,
             self.fleet,
-            peers.answer,
+            peers.send_response,
             self._may_act,
             wall_ms,
             self._on_ownership_lost,
@@ -117,7 +117,7 @@
 
     def agent_connected(self, agent_id: str, zone: str) -> None:
         """Register an agent that has opened a connection."""
-        worker = self.fleet.connected(agent_id, zone)
+        worker = self.fleet.record_connection(agent_id, zone)
         log_event(Event.AGENT_CONNECTED, agent=agent_id)
         self.owner.agent_connected(worker)
 
@@ -125,7 +125,7 @@
         """Record that an agent's connection was closed."""
         if agent_id in self.fleet.by_agent:
             log_event(Event.AGENT_DISCONNECTED, agent=agent_id)
-            self.fleet.disconnected(agent_id)
+            self.fleet.record_disconnection(agent_id)
 
     @singledispatchmethod
     def handle_message(self, message: JobsMessage, peer_id: str) -> None:
@@ -143,7 +143,7 @@
             return
         if not self.owner.shards.by_shard:
             # An empty grant is still a sign of life for the agent.
-            self._peers.answer(peer_id, Grant(message.sequence, [], 0))
+            self._peers.send_response(peer_id, Grant(message.sequence, [], 0))
         self.owner.handle_message(message, worker)
 
     @handle_message.register(AgentLeft)
@@ -163,7 +163,7 @@
             # a poll and must assume that a former owner has started it.
             forwarded = replace(message, is_passed_on=True)
             owner = self._membership.owner_of(shard)
-            self._peers.to_entry(owner, forwarded)
+            self._peers.send_to_entry(owner, forwarded)
 
     @handle_message.register
     def _handle_shard_released(
@@ -184,7 +184,7 @@
         self, message: JobStateRequest, peer_id: str
     ) -> None:
         state = self.owner.shards.state_of(message.job_id)
-        self._peers.answer(
+        self._peers.send_response(
             peer_id,
             JobStateResponse(message.number, state.value if state else ''),
         )
@@ -193,7 +193,7 @@
     def _handle_pending_request(
         self, message: PendingJobsRequest, peer_id: str
     ) -> None:
-        self._peers.answer(
+        self._peers.send_response(
             peer_id,
             PendingJobsResponse(
                 message.number,
@@ -206,13 +206,13 @@
     def _handle_state_response(
         self, message: JobStateResponse, peer_id: str
     ) -> None:
-        self._requests.answered(message.number, message)
+        self._requests.handle_response(message.number, message)
 
     @handle_message.register
     def _handle_pending_response(
         self, message: PendingJobsResponse, peer_id: str
     ) -> None:
-        self._requests.answered(message.number, message)
+        self._requests.handle_response(message.number, message)
 
     @handle_message.register(RelayedCommit)
     @handle_message.register(RelayedRead)
@@ -231,7 +231,7 @@
     def _handle_relayed_response(
         self, message: RelayedResponse, peer_id: str
     ) -> None:
-        self._store.answered(message)
+        self._store.handle_response(message)
 
     def tick(self) -> None:
         """Check former owners and plan; call a few times a second."""
@@ -296,4 +296,4 @@
         message = release_message(owned, self.fleet, self._clock.now())
         self.owner.drop(owned)
         for entry_id in self._membership.addresses:
-            self._peers.to_entry(entry_id, message)
+            self._peers.send_to_entry(entry_id, message)
--- a/hyssopring/jobs/entry_membership.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -42,13 +42,18 @@
 )
 from hyssopring.jobs.shards import SHARD_COUNT
 from hyssopring.jobs.takeover import Takeover
-from hyssopring.jobs.times import ENTRY_SILENT_MS, OWNER_LEASE_MS, RENEW_MS
+from hyssopring.jobs.times import (
+    ENTRY_HEARTBEAT_MS,
+    ENTRY_TIMEOUT_MS,
+    OWNER_LEASE_MS,
+)
 
 __all__ = ('EntryMembership',)
 
 # The delay per rank before an entry takes a free shard: the entries before it
-# check for free shards every ``RENEW_MS``, and their transactions take time.
-_RANK_DELAY_MS: Final = 1.5 * RENEW_MS
+# check for free shards every ``ENTRY_HEARTBEAT_MS``, and their transactions
+# take time.
+_RANK_DELAY_MS: Final = 1.5 * ENTRY_HEARTBEAT_MS
 
 # An entry releases its shards to one with this many times its processor time.
 # Releases are limited, as a handover stops planning for up to a second.
@@ -88,7 +93,9 @@
         self._address = address
         self._renewed_at: float | None = None
         self._peers = PeerEntries(clock, entry_id)
-        self.is_dead: Callable[[FormerOwnerProcess], bool] = self._peers.is_dead
+        self.is_dead: Callable[[FormerOwnerProcess], bool] = (
+            self._peers.is_replaced
+        )
         # The version of this entry's row, 0 for none.
         self._version = 0
         self._is_renewing = False
@@ -125,7 +132,7 @@
         """Whether the store has responded to this entry recently."""
         if self._renewed_at is None:
             return False
-        return self._clock.now() - self._renewed_at < 2 * RENEW_MS
+        return self._clock.now() - self._renewed_at < 2 * ENTRY_HEARTBEAT_MS
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -137,7 +144,7 @@
         return self._peers.owner_of(shard)
 
     def tick(self) -> None:
-        """Renew the row and read the others'; call each ``RENEW_MS``."""
+        """Renew the row and read the others' each ``ENTRY_HEARTBEAT_MS``."""
         self.renew()
         deferred = self._store.read(ENTRIES_TABLE, '')
         deferred.addCallbacks(self._on_entry_rows, self._ignore_store_failure)
@@ -223,7 +230,7 @@
 
     def _on_entry_rows(self, page: Page) -> None:
         now_ms = self._clock.now()
-        for row in self._peers.read(page.rows):
+        for row in self._peers.update(page.rows):
             self._remove_stale_row(row)
         self.on_entries()
         if not self._is_stopping:
@@ -259,7 +266,7 @@
         Entries with more processor time come first: an overloaded planner
         stops sending grants to agents while its own row is still renewed.
         """
-        cores_by_entry = self._peers.live_cores()
+        cores_by_entry = self._peers.live_cores_by_entry()
         cores_by_entry[self._entry_id] = self._cores
         ranked = sorted(
             cores_by_entry,
@@ -270,7 +277,7 @@
 
     def _release_to_stronger(self, now_ms: float) -> None:
         """Release all shards if an entry has far more processor time."""
-        strongest = max(self._peers.live_cores().values(), default=0)
+        strongest = max(self._peers.live_cores_by_entry().values(), default=0)
         is_weak = strongest > _RELEASE_CORES_RATIO * self._cores
         if is_weak and self.owned() and now_ms > self._next_release_at:
             self._next_release_at = now_ms + _RELEASE_INTERVAL_MS
@@ -295,7 +302,7 @@
             return is_live
         now_ms = self._clock.now()
         since = self._unknown_owner_since.setdefault(version, now_ms)
-        return now_ms - since < ENTRY_SILENT_MS
+        return now_ms - since < ENTRY_TIMEOUT_MS
 
     def _is_first_in_line(self, shard: int, former: OwnerRow | None) -> bool:
         """Whether this entry may take a free shard now.
--- a/hyssopring/jobs/fleet.py
+++ b/hyssopring/jobs/fleet.py
@@ -9,7 +9,7 @@
 from hyssopring.jobs.times import GRANT_EXPIRY_MS, GRANT_MS
 from hyssopring.jobs.workers import PlacedAttempt, Worker
 
-__all__ = ('GRANT_TTL_MS', 'Departed', 'Fleet', 'PlacedAttempt', 'Worker')
+__all__ = ('GRANT_TTL_MS', 'AgentDeparture', 'Fleet', 'PlacedAttempt', 'Worker')
 
 # A worker that has refused a start is chosen last for this long.
 _REFUSAL_PENALTY_MS: Final = 5000.0
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Departed:
+class AgentDeparture:
     """An agent that shut down with no task left on its worker."""
 
     worker: Worker
@@ -31,8 +31,8 @@
     """All agents that have been connected to an entry.
 
     Attributes:
-        departed: Agents that have announced their shutdown, by ID, until they
-            reconnect.
+        departure_by_agent: Agents that have announced their shutdown, by ID,
+            until they reconnect.
         by_agent: Agents with their workers, by agent ID.
     """
 
@@ -46,12 +46,12 @@
         self._incarnation = incarnation
         self._started_at_ms = clock.now()
         self._connection_numbers = count(1)
-        self.departed: dict[str, Departed] = {}
+        self.departure_by_agent: dict[str, AgentDeparture] = {}
         self.by_agent: dict[str, Worker] = {}
 
-    def connected(self, agent_id: str, zone: str) -> Worker:
+    def record_connection(self, agent_id: str, zone: str) -> Worker:
         """Record a new connection of an agent and return its worker."""
-        self.departed.pop(agent_id, None)
+        self.departure_by_agent.pop(agent_id, None)
         worker = self.by_agent.get(agent_id)
         if worker is None:
             worker = Worker(agent_id, zone)
@@ -65,18 +65,20 @@
             placed.start_index = 0
         return worker
 
-    def disconnected(self, agent_id: str) -> None:
+    def record_disconnection(self, agent_id: str) -> None:
         """Record that an agent's connection was lost."""
         worker = self.by_agent[agent_id]
         worker.is_connected = False
         worker.disconnected_at = self._clock.now()
 
-    def remove_departed(self, worker: Worker, message: AgentLeft) -> 'Departed':
+    def record_departure(
+        self, worker: Worker, message: AgentLeft
+    ) -> 'AgentDeparture':
         """Record the shutdown of an agent whose worker runs no task."""
-        departed = Departed(worker, message, self._clock.now())
-        self.departed[worker.agent_id] = departed
-        if len(self.departed) > _MAX_DEPARTED:
-            self.departed.pop(next(iter(self.departed)))
+        departed = AgentDeparture(worker, message, self._clock.now())
+        self.departure_by_agent[worker.agent_id] = departed
+        if len(self.departure_by_agent) > _MAX_DEPARTED:
+            self.departure_by_agent.pop(next(iter(self.departure_by_agent)))
         return departed
 
     def unreachable_since(self, agent_id: str) -> float | None:
@@ -99,7 +101,7 @@
 
     def is_lost(self, agent_id: str) -> bool:
         """Return whether an agent is disconnected and can run no task."""
-        if agent_id in self.departed:
+        if agent_id in self.departure_by_agent:
             return True
         worker = self.by_agent.get(agent_id)
         if worker is None:
@@ -116,16 +118,16 @@
         previous one is still in force.
         """
         worker = self.by_agent.get(agent_id)
-        if worker is not None and worker.has_no_worker:
+        if worker is not None and worker.is_without_worker:
             return True
         return self.is_lost(agent_id)
 
-    def listable_agents(self) -> list[str]:
+    def agents_with_worker(self) -> list[str]:
         """Return the IDs of connected agents that may have a worker."""
         return [
             worker.agent_id
             for worker in self.by_agent.values()
-            if worker.is_connected and not worker.has_no_worker
+            if worker.is_connected and not worker.is_without_worker
         ]
 
     def connected_agents(self) -> list[str]:
@@ -136,7 +138,7 @@
             if worker.is_connected
         ]
 
-    def forget_lost(self) -> None:
+    def remove_lost(self) -> None:
         """Remove lost agents without placed attempts, such as replaced VMs."""
         for agent_id, worker in list(self.by_agent.items()):
             if not worker.placed_by_task and self.is_lost(agent_id):
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -17,7 +17,7 @@
 
     Attributes:
         shard: The number of the shard.
-        reign: The epoch of the new owner.
+        epoch: The epoch of the new owner.
         version: The version of the owner row.
         acquired_at: When the takeover succeeded.
         in_doubt: Former owners that may still send orders: they have not
@@ -29,7 +29,7 @@
     """
 
     shard: int
-    reign: int
+    epoch: int
     version: int
     acquired_at: float
     in_doubt: tuple[FormerOwnerProcess, ...]
--- a/hyssopring/jobs/job_api.py
+++ b/hyssopring/jobs/job_api.py
@@ -222,7 +222,7 @@
         """Send a notice to the owner, which polls for rows if it is lost."""
         entry_id = self._membership.owner_of(shard)
         if entry_id:
-            self._peers.to_entry(entry_id, message)
+            self._peers.send_to_entry(entry_id, message)
 
     @inlineCallbacks
     def _request_state(self, job_id: str) -> Any:
--- a/hyssopring/jobs/keeper_waits.py
+++ b/hyssopring/jobs/keeper_waits.py
@@ -106,7 +106,7 @@
     @property
     def is_running(self) -> bool:
         """Return whether a report lists the attempt, and it is not stopping."""
-        return self.placed.reports > 0 and not self.placed.is_stopping
+        return self.placed.report_count > 0 and not self.placed.is_stopping
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
     """Check the tasks of all keepers of the owned shards every second.
 
     Attributes:
-        waiting: How many tasks have not run for a long time.
+        waiting_count: How many tasks have not run for a long time.
     """
 
     def __init__(
@@ -148,7 +148,7 @@
         self._suspects = suspects
         self._checked_at_ms = clock.now()
         self._wait_by_task: dict[str, _Wait] = {}
-        self.waiting = 0
+        self.waiting_count = 0
 
     def check(self) -> None:
         """Check all keepers' tasks if the check is due; call regularly."""
@@ -168,7 +168,7 @@
             for task, wait in self._wait_by_task.items()
             if now_ms - wait.since_ms >= _LONG_WAIT_MS
         }
-        self.waiting = len(long_wait_by_task)
+        self.waiting_count = len(long_wait_by_task)
         due_tasks = [
             task
             for task, wait in long_wait_by_task.items()
@@ -191,7 +191,7 @@
             agents=' '.join(obstacle.agents[:_MAX_AGENTS]),
             count=len(obstacle.agents),
             left_ms=int(obstacle.remaining_ms),
-            waiting=self.waiting,
+            waiting=self.waiting_count,
         )
 
     def _missing(self) -> Iterator[_MissingTask]:
@@ -245,10 +245,10 @@
             return _Obstacle(
                 WaitReason.UNHEARD, agents, max(waits_ms, default=0)
             )
-        if owned.roster.is_failing:
+        if owned.roster.is_backing_off:
             return _Obstacle(WaitReason.NOT_DURABLE)
         if self._suspects.needs_trial(record, task_name):
-            trial_agents = tuple(sorted(self._suspects.agents))
+            trial_agents = tuple(sorted(self._suspects.trial_agents))
             return _Obstacle(WaitReason.TRIAL, trial_agents)
         tickets = self._ticket_manager.valid_tickets(record, missing.run)
         if tickets is not None and not tickets:
--- a/hyssopring/jobs/locations.py
+++ b/hyssopring/jobs/locations.py
@@ -43,7 +43,7 @@
         self._updated_at = clock.now()
         self._agents_by_task: dict[str, set[str]] = defaultdict(set)
 
-    def ensure_located(self, agent_id: str, tasks: list[str]) -> bool:
+    def ensure_listed(self, agent_id: str, tasks: list[str]) -> bool:
         """Return whether an agent's row lists tasks; if not, add them."""
         if self._roster.is_located(agent_id, tasks):
             return True
@@ -125,7 +125,7 @@
             task: worker.agent_id
             for worker in fleet.by_agent.values()
             for task, placed in worker.placed_by_task.items()
-            if self._is_own_keeper(placed) and placed.reports > 0
+            if self._is_own_keeper(placed) and placed.report_count > 0
         }
 
     def _placed(self, worker: Worker) -> set[str]:
--- a/hyssopring/jobs/messages.py
+++ b/hyssopring/jobs/messages.py
@@ -52,7 +52,7 @@
     'StartOrder',
     'StartRefusal',
     'StopOrder',
-    'TaskFacts',
+    'TaskRequirements',
     'WorkerReport',
     'pack',
     'unpack',
@@ -191,7 +191,7 @@
 
 
 @struct
-class TaskFacts:
+class TaskRequirements:
     """Resources and targets of an attempt.
 
     Sent also for an attempt that the agent did not start itself.
@@ -224,7 +224,7 @@
     boot: str
     payload: str
     checkpoint: str
-    facts: TaskFacts
+    facts: TaskRequirements
     connection: str = ''
     ticket: str = ''
     is_trial: bool = False
@@ -387,7 +387,7 @@
     | JobStateResponse
     | PendingJobsRequest
     | PendingJobsResponse
-    | TaskFacts
+    | TaskRequirements
     | EntryAddresses
     | RelayedCommit
     | RelayedRead
--- a/hyssopring/jobs/model.py
+++ b/hyssopring/jobs/model.py
@@ -191,7 +191,7 @@
     per_worker_ms: float = 0
     valid_ms: float = 0
 
-    def question_ms(self, workers: int) -> float:
+    def query_ms(self, workers: int) -> float:
         """Return the expected response time for a number of workers."""
         return self.decision_ms + workers * self.per_worker_ms
 
--- a/hyssopring/jobs/owned_shard.py
+++ b/hyssopring/jobs/owned_shard.py
@@ -87,7 +87,7 @@
     ) -> None:
         """Create the shard; call ``load`` next."""
         self.shard = acquired.shard
-        self.epoch = acquired.reign
+        self.epoch = acquired.epoch
         self.version = acquired.version
         self.former = FormerOwner(clock, acquired)
         self._confirmed_at = acquired.confirmed_at
@@ -130,7 +130,7 @@
             self.roster,
             epoch_rows,
             self.former,
-            self._reader.store_time,
+            self._reader.store_clock,
         )
         self._writer = ProgressWriter(
             reactor,
@@ -299,7 +299,7 @@
 
     def on_agent_rows(self, agents: list[Row]) -> None:
         """Load the agents' rows; grants are allowed from now on."""
-        self.roster.load(agents, self._reader.store_time)
+        self.roster.load(agents, self._reader.store_clock)
 
     def on_job_rows(self, jobs: list[Row], ends: list[Row]) -> None:
         """Load the stored jobs and their progress."""
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -19,10 +19,10 @@
     ReportRequest,
     StartRefusal,
     StopOrder,
-    TaskFacts,
+    TaskRequirements,
     WorkerReport,
 )
-from hyssopring.jobs.moves import TaskMoves
+from hyssopring.jobs.task_mover import TaskMover
 from hyssopring.jobs.owned_shard import Ack, OwnedShard
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.planning import Send, StepPlanner
@@ -93,7 +93,7 @@
             self._ticket_manager,
             self._suspects,
         )
-        self.waits = KeeperWaitMonitor(
+        self.keeper_waits = KeeperWaitMonitor(
             clock,
             fleet,
             self.shards,
@@ -109,7 +109,7 @@
             self,
             self._suspects,
         )
-        self._moves = TaskMoves(
+        self._moves = TaskMover(
             clock,
             fleet,
             self.shards,
@@ -135,7 +135,7 @@
         """Apply the last messages of agents that left before the load."""
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
-                for departed in list(self._fleet.departed.values()):
+                for departed in list(self._fleet.departure_by_agent.values()):
                     self._reconciler.handle_departed_agent(departed, owned)
 
     def request_all_reports(self) -> None:
@@ -176,7 +176,7 @@
         for (agent_id, boot), numbers in numbers_by_boot.items():
             self._send(agent_id, EndsRecorded(boot, numbers))
 
-    def send_task_facts(self, worker: Worker, facts: TaskFacts) -> None:
+    def send_task_facts(self, worker: Worker, facts: TaskRequirements) -> None:
         """Send an agent the size and limits of an attempt."""
         self._send(worker.agent_id, facts)
 
@@ -197,7 +197,9 @@
     @handle_message.register
     def _handle_report(self, report: WorkerReport, worker: Worker) -> None:
         suspects = self._suspects
-        suspects.worker_crashes.record_report(worker, report, suspects.agents)
+        suspects.worker_crashes.record_report(
+            worker, report, suspects.trial_agents
+        )
         worker.report = report
         worker.reported_at = self._clock.now()
         acknowledged_shards = self.shards.shards_acknowledged_in(report)
@@ -236,7 +238,7 @@
         # Starting the task elsewhere would run it twice. The agent's next
         # report lists the attempt or shows that it has ended.
         is_settled = message.reason != RUNNING_HERE
-        if placed and placed.number == message.attempt and is_settled:
+        if placed and placed.attempt == message.attempt and is_settled:
             if message.reason == BAD_TICKET:
                 self._ticket_manager.record_rejection(placed.name, placed.boot)
             elif message.reason in _WORKERS_REASONS:
@@ -250,7 +252,7 @@
 
     @handle_message.register
     def _handle_agent_left(self, message: AgentLeft, worker: Worker) -> None:
-        departed = self._fleet.remove_departed(worker, message)
+        departed = self._fleet.record_departure(worker, message)
         log_event(
             Event.AGENT_LEFT,
             agent=worker.agent_id,
@@ -272,12 +274,12 @@
             candidates = self.shards.startable_on(
                 self._fleet.schedulable_workers()
             )
-            self._moves.relieve(candidates)
+            self._moves.move_throttled_tasks(candidates)
         if self._stall_detector.record_tick():
             self._expire_lost_attempts(now_ms)
         self._add_to_roster()
         self._ticket_manager.check()
-        self.waits.check()
+        self.keeper_waits.check()
         self.schedule_planning()
 
     def _expire_lost_attempts(self, now_ms: float) -> None:
@@ -289,7 +291,7 @@
                     )
         for owned in self.shards.by_shard.values():
             owned.tick(self._fleet)
-        self._fleet.forget_lost()
+        self._fleet.remove_lost()
 
     def _is_lost(self, worker: Worker, now_ms: float) -> bool:
         """Whether no attempt on a worker can still run.
@@ -308,7 +310,7 @@
 
     def _add_to_roster(self) -> None:
         """Add agents to the rosters before tasks are sent to them."""
-        agents = self._fleet.listable_agents()
+        agents = self._fleet.agents_with_worker()
         for owned in self.shards.by_shard.values():
             if owned.is_loaded:
                 owned.roster.add(agents)
@@ -342,7 +344,7 @@
             for task, placed in worker.placed_by_task.items():
                 if placed.name.job_id == record.job.job_id:
                     mark_stopping(placed, worker, 'its job has ended')
-                    self.stop(owned, worker, task, placed.number)
+                    self.stop(owned, worker, task, placed.attempt)
 
     def stop(
         self,
--- a/hyssopring/jobs/past_incarnation.py
+++ b/hyssopring/jobs/past_incarnation.py
@@ -22,13 +22,13 @@
 
     Attributes:
         boot: ID of the incarnation.
-        heard_at: When the worker last answered.
+        answered_at: When the worker last answered.
         failing_since: When the first poll after that failed, None if none did.
         is_planned: Whether the worker had announced that it leaves.
     """
 
     boot: str
-    heard_at: float
+    answered_at: float
     failing_since: float | None
     is_planned: bool
 
@@ -42,7 +42,7 @@
         if not attempt.tries:
             # A former agent started it; the time of its start is unknown.
             return False
-        if self.heard_at - attempt.ordered_at >= _CRASH_WINDOW_MS:
+        if self.answered_at - attempt.ordered_at >= _CRASH_WINDOW_MS:
             return False
         return attempt.confirmed_at is not None or self._may_have_arrived(
             attempt
@@ -55,7 +55,7 @@
         """
         if (
             attempt.tries > 1
-            or attempt.ordered_at - self.heard_at > _REACHABLE_MS
+            or attempt.ordered_at - self.answered_at > _REACHABLE_MS
         ):
             return False
         failing_since = self.failing_since
--- a/hyssopring/jobs/peer_entries.py
+++ b/hyssopring/jobs/peer_entries.py
@@ -7,13 +7,13 @@
 from hyssopring.jobs.documents import EntryRow, FormerOwnerProcess, OwnerRow
 from hyssopring.jobs.row_parser import RowParser
 from hyssopring.jobs.rows import Row
-from hyssopring.jobs.times import ENTRY_SILENT_MS, RENEW_MS
+from hyssopring.jobs.times import ENTRY_HEARTBEAT_MS, ENTRY_TIMEOUT_MS
 
 __all__ = ('PeerEntries',)
 
 # After a longer gap between two reads of the store the other entries are not
 # taken for silent: the store may have been unavailable to them, too.
-_MAX_GAP_MS: Final = 1.8 * RENEW_MS
+_MAX_GAP_MS: Final = 1.8 * ENTRY_HEARTBEAT_MS
 # Rows that were not renewed for this long are removed.
 _FORGET_MS: Final = 60_000.0
 
@@ -82,7 +82,7 @@
         # that the process was live then: give it time to renew.
         return None
 
-    def is_dead(self, former_owner: FormerOwnerProcess) -> bool:
+    def is_replaced(self, former_owner: FormerOwnerProcess) -> bool:
         """Whether a former owner's process was replaced by another one.
 
         Both ran under one entry id on the same VM, so the former one is
@@ -101,9 +101,9 @@
     def is_live(self, entry_id: str) -> bool:
         """Whether a known entry's row has changed recently."""
         peer = self._peer_by_id[entry_id]
-        return self._clock.now() - peer.unchanged_since < ENTRY_SILENT_MS
+        return self._clock.now() - peer.unchanged_since < ENTRY_TIMEOUT_MS
 
-    def live_cores(self) -> dict[str, float]:
+    def live_cores_by_entry(self) -> dict[str, float]:
         """Return the cores of live entries, by id.
 
         Only entries that have renewed their row while it was watched.
@@ -114,7 +114,7 @@
             if peer.has_renewed and self.is_live(entry_id)
         }
 
-    def read(self, rows: Iterable[Row]) -> list[Row]:
+    def update(self, rows: Iterable[Row]) -> list[Row]:
         """Update from all entries' rows.
 
         Returns:
@@ -146,7 +146,7 @@
             entry_row = self._parser.parse(EntryRow.from_text, row)
             if entry_row is None:
                 # Keep the former row: a live entry writes its row again
-                # within ``RENEW_MS``.
+                # within ``ENTRY_HEARTBEAT_MS``.
                 return False
             self._peer_by_id[entry_id] = _PeerEntry(
                 entry_row,
--- a/hyssopring/jobs/peer_requests.py
+++ b/hyssopring/jobs/peer_requests.py
@@ -17,10 +17,10 @@
 class PeerTransport(Protocol):
     """Sends messages to other entries and to agents."""
 
-    def to_entry(self, entry_id: str, message: JobsMessage) -> bool:
+    def send_to_entry(self, entry_id: str, message: JobsMessage) -> bool:
         """Send a message to another entry; return False if not connected."""
 
-    def answer(self, peer_id: str, message: JobsMessage) -> bool:
+    def send_response(self, peer_id: str, message: JobsMessage) -> bool:
         """Send a message on a connection that a peer has opened."""
 
 
@@ -52,7 +52,7 @@
         """
         self._number += 1
         number = self._number
-        if not entry_id or not self._peers.to_entry(
+        if not entry_id or not self._peers.send_to_entry(
             entry_id, make_request(number)
         ):
             return succeed(None)
@@ -62,7 +62,7 @@
         response.addErrback(self._forget_request, number)
         return response
 
-    def answered(self, number: int, answer: Any) -> None:
+    def handle_response(self, number: int, answer: Any) -> None:
         """Pass an answer to its request; drop it after the timeout."""
         response = self._response_by_number.pop(number, None)
         if response is not None:
--- a/hyssopring/jobs/placement_option.py
+++ b/hyssopring/jobs/placement_option.py
@@ -93,7 +93,7 @@
         reserved_cpu = sum(
             placed.step.size.cpu_millis for placed in latency_critical
         )
-        best_effort_cpu = sum(placed.cpu_in_use for placed in best_effort)
+        best_effort_cpu = sum(placed.cpu_used_millis for placed in best_effort)
         return cls(
             worker,
             worker.free(),
@@ -265,7 +265,7 @@
             latency_critical.step.target_ms / latency_critical.load,
         )
     return current - sum(
-        (placed.cpu_at_full_pace - placed.cpu_in_use)
+        (placed.cpu_at_full_pace - placed.cpu_used_millis)
         / _MILLIS
         * interference.per_core(
             latency_critical.step.image, placed.step.image
--- a/hyssopring/jobs/placement_round.py
+++ b/hyssopring/jobs/placement_round.py
@@ -144,7 +144,7 @@
             key=lambda option: (
                 option.is_refusing,
                 option.worker.agent_id in avoided_agents,
-                option.worker.exposure(),
+                option.worker.task_counts(),
             ),
         )
         self.exclude(best.worker)
--- a/hyssopring/jobs/planning.py
+++ b/hyssopring/jobs/planning.py
@@ -13,7 +13,7 @@
 from hyssopring.jobs.owned_shards import OwnedShards
 from hyssopring.jobs.placement_round import PlacementRound
 from hyssopring.jobs.shards import shard_of
-from hyssopring.jobs.task_facts import facts_of
+from hyssopring.jobs.task_requirements import facts_of
 from hyssopring.jobs.ticket_manager import TicketManager
 from hyssopring.jobs.urgency import Urgency, urgency
 from hyssopring.logs import Event, log_event
@@ -211,7 +211,7 @@
         that has ended can only restart where it ran.
         """
         owned = self._shards.by_shard[shard_of(task_name.job_id)]
-        if not owned.roster.is_failing:
+        if not owned.roster.is_backing_off:
             return None
         boots = owned.locations.located_on(
             str(task_name), self._fleet.schedulable_workers()
@@ -308,7 +308,7 @@
             return True
         owned = self._shards.by_shard[shard_of(task_names[0].job_id)]
         located = [
-            owned.locations.ensure_located(worker.agent_id, [str(task_name)])
+            owned.locations.ensure_listed(worker.agent_id, [str(task_name)])
             for task_name, worker in zip(task_names, workers, strict=True)
         ]
         return all(located)
--- a/hyssopring/jobs/relay.py
+++ b/hyssopring/jobs/relay.py
@@ -147,18 +147,18 @@
         ), 'message must be a relayed call'
         number = message.number
         if self._clock.now() - self._direct_failed_at < _REFUSE_PEERS_MS:
-            self._peers.answer(peer_id, replace(REFUSED, number=number))
+            self._peers.send_response(peer_id, replace(REFUSED, number=number))
             return
         call: Deferred = self._call_direct(message)
         call.addCallback(response_for_outcome, number)
         call.addErrback(response_for_failure, number)
         call.addCallback(
-            lambda response: self._peers.answer(peer_id, response),
+            lambda response: self._peers.send_response(peer_id, response),
         )
 
-    def answered(self, response: RelayedResponse) -> None:
+    def handle_response(self, response: RelayedResponse) -> None:
         """Handle the response of a peer that has made a call."""
-        self._peer_requests.answered(response.number, response)
+        self._peer_requests.handle_response(response.number, response)
 
     def _call_direct(self, message: JobsMessage) -> Any:
         if isinstance(message, RelayedCommit):
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -4,12 +4,12 @@
 
 from hyssopring.clock import Clock
 from hyssopring.jobs.crash_suspects import TRIAL_MS, CrashSuspects
-from hyssopring.jobs.fleet import Departed, Fleet, PlacedAttempt, Worker
+from hyssopring.jobs.fleet import AgentDeparture, Fleet, PlacedAttempt, Worker
 from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.messages import (
     AttemptReport,
     EndReport,
-    TaskFacts,
+    TaskRequirements,
     WorkerReport,
 )
 from hyssopring.jobs.model import AttemptEnd, JobState, TaskName
@@ -18,7 +18,7 @@
 from hyssopring.jobs.seen_ends import SeenEnds
 from hyssopring.jobs.shards import shard_of, shard_of_task
 from hyssopring.jobs.stop_marks import mark_stopping
-from hyssopring.jobs.task_facts import facts_of
+from hyssopring.jobs.task_requirements import facts_of
 from hyssopring.jobs.times import HOLD_EXPIRY_MS
 from hyssopring.jobs.unknown_jobs import UnknownJobs
 from hyssopring.logs import Event, log_event
@@ -43,7 +43,7 @@
     def stop_job(self, record: JobRecord) -> None:
         """Order the stop of all attempts of a job."""
 
-    def send_task_facts(self, worker: Worker, facts: TaskFacts) -> None:
+    def send_task_facts(self, worker: Worker, facts: TaskRequirements) -> None:
         """Send an agent the size and limits of an attempt."""
 
     def acknowledge_ends(self, acks: list[Ack]) -> None:
@@ -113,7 +113,7 @@
         owned.unreported.discard(worker.agent_id)
 
     def handle_departed_agent(
-        self, departed: Departed, owned: OwnedShard
+        self, departed: AgentDeparture, owned: OwnedShard
     ) -> None:
         """Apply the last message of an agent whose worker runs nothing.
 
@@ -175,9 +175,9 @@
         if record is None and not self._unknown_jobs.has_timed_out(name.job_id):
             return
         placed = worker.placed_by_task.get(attempt_report.task)
-        if placed is None or placed.number < attempt_report.attempt:
+        if placed is None or placed.attempt < attempt_report.attempt:
             placed = self._adopt(worker, boot, attempt_report, record)
-        elif placed.number == attempt_report.attempt:
+        elif placed.attempt == attempt_report.attempt:
             # The start may have been sent to the worker's previous
             # incarnation while this one runs the attempt. Starting it
             # elsewhere would run the task twice.
@@ -284,7 +284,7 @@
             self._sink.acknowledge_ends([ack])
             return
         placed = worker.placed_by_task.get(end.task)
-        if placed is not None and placed.number <= end.attempt:
+        if placed is not None and placed.attempt <= end.attempt:
             worker.placed_by_task.pop(end.task)
         self._apply_end(record, name, end, worker, owned)
         owned.save(record, ack)
@@ -359,7 +359,7 @@
         owned: OwnedShard,
     ) -> None:
         mark_stopping(placed, worker, 'done elsewhere, or its gang is broken')
-        self._sink.stop(owned, worker, str(placed.name), placed.number)
+        self._sink.stop(owned, worker, str(placed.name), placed.attempt)
 
     def record_attempt_lost(
         self, worker: Worker, placed: PlacedAttempt, reason: str
@@ -373,7 +373,7 @@
         log_event(
             Event.TASK_LAPSED,
             task=task,
-            attempt=placed.number,
+            attempt=placed.attempt,
             agent=worker.agent_id,
             reason=reason,
             boot=placed.boot,
--- a/hyssopring/jobs/roster.py
+++ b/hyssopring/jobs/roster.py
@@ -93,7 +93,7 @@
         return entry is not None and entry.is_listed
 
     @property
-    def is_failing(self) -> bool:
+    def is_backing_off(self) -> bool:
         """Whether writes are paused after a failed one."""
         return self._clock.now() < self._backoff_until
 
@@ -203,7 +203,7 @@
         One transaction is in flight at a time. Each checks the versions of its
         rows, so that a delayed one is not applied after its successors.
         """
-        if self._is_writing or self.is_failing or not self.is_known:
+        if self._is_writing or self.is_backing_off or not self.is_known:
             return
         if self._epoch_rows.must_retract:
             self._epoch_rows.invalidate()
--- a/hyssopring/jobs/shard_reader.py
+++ b/hyssopring/jobs/shard_reader.py
@@ -72,7 +72,7 @@
     """Loads one shard and polls it for rows that no message announced.
 
     Attributes:
-        store_time: Estimate of the store's clock from its responses.
+        store_clock: Estimate of the store's clock from its responses.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         rows: ShardRows,
     ) -> None:
         """Deliver what is read to ``rows``."""
-        self.store_time = StoreClock(clock)
+        self.store_clock = StoreClock(clock)
         self._reactor = reactor
         self._clock = clock
         self._store = store
@@ -153,7 +153,7 @@
         while True:
             sent_at = self._clock.now()
             page: Page = yield self._store.read(table, part, first)
-            self.store_time.update(page.read_ms, sent_at)
+            self.store_clock.update(page.read_ms, sent_at)
             if table == JOBS_TABLE and not first:
                 self._read_version = page.version
             rows.extend(page.rows)
@@ -174,7 +174,7 @@
 
     @inlineCallbacks
     def _on_changes(self, changes: Changes, sent_at: float) -> Any:
-        self.store_time.update(changes.read_ms, sent_at)
+        self.store_clock.update(changes.read_ms, sent_at)
         rows = [row for row in changes.rows if not row.is_removed]
         yield self._deliver(rows, changes.version)
         self._is_polling = False
--- a/hyssopring/jobs/shared_configuration.py
+++ b/hyssopring/jobs/shared_configuration.py
@@ -61,7 +61,7 @@
         self._received_parts: ReceivedParts | None = None
         self._timer: Any = None
 
-    def applied(self, version: int, stored: StoredConfiguration) -> None:
+    def announce(self, version: int, stored: StoredConfiguration) -> None:
         """Announce a configuration that has come into force here."""
         if version <= self._version:
             return
@@ -69,15 +69,17 @@
         self._stored = stored
         self._packed_configuration = None
         for entry_id in self._peers.connected_entries:
-            self._peers.to_entry(entry_id, ConfigurationNotice(version))
+            self._peers.send_to_entry(entry_id, ConfigurationNotice(version))
 
-    def greeted(self, entry_id: str) -> None:
+    def announce_to(self, entry_id: str) -> None:
         """Announce the version to an entry that has opened a connection.
 
         The entry may have just started.
         """
         if self._version > _NO_VERSION:
-            self._peers.answer(entry_id, ConfigurationNotice(self._version))
+            self._peers.send_response(
+                entry_id, ConfigurationNotice(self._version)
+            )
 
     @singledispatchmethod
     def handle_message(self, message: JobsMessage, entry_id: str) -> None:
@@ -187,8 +189,8 @@
 
     def _send(self, entry_id: str, message: JobsMessage) -> None:
         """Send on the peer's connection to this entry, or on this entry's."""
-        if not self._peers.answer(entry_id, message):
-            self._peers.to_entry(entry_id, message)
+        if not self._peers.send_response(entry_id, message):
+            self._peers.send_to_entry(entry_id, message)
 
 
 def _ignore(_stored: StoredConfiguration) -> None:
--- a/hyssopring/jobs/stop_marks.py
+++ b/hyssopring/jobs/stop_marks.py
@@ -14,7 +14,7 @@
     log_event(
         Event.TASK_STOPPED,
         task=str(placed.name),
-        attempt=placed.number,
+        attempt=placed.attempt,
         agent=worker.agent_id,
         why=why,
     )
--- a/hyssopring/jobs/takeover.py
+++ b/hyssopring/jobs/takeover.py
@@ -55,7 +55,9 @@
     @property
     def next_roster(self) -> RosterRow:
         """The roster row to write with the takeover."""
-        return self.roster.next(self.former.reign if self.former else 0)
+        return self.roster.for_next_owner(
+            self.former.reign if self.former else 0
+        )
 
     @property
     def epoch(self) -> int:
--- a/hyssopring/jobs/moves.py
+++ b/hyssopring/jobs/task_mover.py
@@ -13,7 +13,7 @@
 from hyssopring.jobs.stop_marks import mark_stopping
 from hyssopring.jobs.ticket_manager import TicketManager
 
-__all__ = ('TaskMoves',)
+__all__ = ('TaskMover',)
 
 # A leaving worker's tasks are stopped this long before it ends: a stop takes up
 # to 0.9 s, and its end is detected and reported within 0.1 s.
@@ -27,7 +27,7 @@
 Stop = Callable[[OwnedShard, Worker, str, int], None]
 
 
-class TaskMoves:
+class TaskMover:
     """Stop tasks that make better progress on another worker."""
 
     def __init__(
@@ -70,9 +70,9 @@
             is_due = is_urgent or placed.step.is_keeper
             if owned is not None and is_due and not placed.is_stopping:
                 mark_stopping(placed, worker, 'the worker leaves')
-                self._stop(owned, worker, task, placed.number)
+                self._stop(owned, worker, task, placed.attempt)
 
-    def relieve(self, workers: Iterable[Worker]) -> None:
+    def move_throttled_tasks(self, workers: Iterable[Worker]) -> None:
         """Move throttled best-effort tasks to workers without interference.
 
         A job ends with its slowest task: a single task that was stopped for
@@ -100,7 +100,7 @@
                 mark_stopping(
                     placed, worker, 'throttled beside latency-critical tasks'
                 )
-                self._stop(owned, worker, str(placed.name), placed.number)
+                self._stop(owned, worker, str(placed.name), placed.attempt)
 
 
 def _is_movable(placed: PlacedAttempt, now_ms: float) -> bool:
--- a/hyssopring/jobs/task_facts.py
+++ b/hyssopring/jobs/task_requirements.py
@@ -1,14 +1,14 @@
 """Task requirements that an owner sends to an agent."""
 
-from hyssopring.jobs.messages import TaskFacts
+from hyssopring.jobs.messages import TaskRequirements
 from hyssopring.jobs.model import Step
 
 __all__ = ('facts_of',)
 
 
-def facts_of(task: str, attempt: int, step: Step) -> TaskFacts:
+def facts_of(task: str, attempt: int, step: Step) -> TaskRequirements:
     """Return the requirements of an attempt of a task of ``step``."""
-    return TaskFacts(
+    return TaskRequirements(
         task,
         attempt,
         step.size.cpu_millis,
--- a/hyssopring/jobs/ticket_manager.py
+++ b/hyssopring/jobs/ticket_manager.py
@@ -228,7 +228,7 @@
         self, request: TicketRequest, boots: tuple[str, ...]
     ) -> None:
         self._is_query_in_flight = True
-        expected_ms = request.timing.question_ms(len(boots))
+        expected_ms = request.timing.query_ms(len(boots))
         query = AdviceQuery(request.step_name, boots, expected_ms)
         pending_answer = self._advice_client.ask(query)
         sent_at_ms = self._clock.now()
--- a/hyssopring/jobs/ticket_requests.py
+++ b/hyssopring/jobs/ticket_requests.py
@@ -49,7 +49,7 @@
     @classmethod
     def from_worker(cls, worker: Worker) -> 'CandidateWorker':
         """Take the capacity from a worker's latest report."""
-        return cls(worker, worker.boot, worker.free(), worker.room)
+        return cls(worker, worker.boot, worker.free(), worker.capacity)
 
     def can_run(self, service: str, step: Step) -> bool:
         """Return whether the worker, if empty, could run a task of a step."""
--- a/hyssopring/jobs/times.py
+++ b/hyssopring/jobs/times.py
@@ -10,15 +10,15 @@
 __all__ = (
     'CAPACITY_TTL_MS',
     'CLOCK_DRIFT',
-    'ENTRY_SILENT_MS',
+    'ENTRY_HEARTBEAT_MS',
+    'ENTRY_TIMEOUT_MS',
     'GRANT_EXPIRY_MS',
     'GRANT_MS',
     'HOLD_EXPIRY_MS',
     'HOLD_MS',
-    'LONGEST_HOLD_MS',
+    'MAX_HOLD_MS',
     'OWNER_LEASE_MS',
-    'RENEW_MS',
-    'REPORT_MS',
+    'REPORT_INTERVAL_MS',
     'ROSTER_WAIT_MS',
 )
 
@@ -27,8 +27,8 @@
 
 # The interval of an entry's heartbeats; other entries take over its shards
 # after three missed ones.
-RENEW_MS: Final = 1000.0
-ENTRY_SILENT_MS: Final = 3000.0
+ENTRY_HEARTBEAT_MS: Final = 1000.0
+ENTRY_TIMEOUT_MS: Final = 3000.0
 
 # How long an owner continues without the store, so that starts go on meanwhile.
 # It exceeds the longest observed outage (9 s). A successor that reaches all
@@ -46,7 +46,7 @@
 
 # The longest hold that a worker accepts. A hold that was set by the clock of a
 # former incarnation may last as long.
-LONGEST_HOLD_MS: Final = 10_000.0
+MAX_HOLD_MS: Final = 10_000.0
 
 # A worker that no agent has reached for this long runs no task.
 HOLD_EXPIRY_MS: Final = HOLD_MS * (1 + CLOCK_DRIFT) + 200.0
@@ -56,7 +56,7 @@
 CAPACITY_TTL_MS: Final = 4000.0
 
 # The interval of an agent's reports; it also reports changes at once.
-REPORT_MS: Final = 500.0
+REPORT_INTERVAL_MS: Final = 500.0
 
 # An agent that has had no grant for this long runs no task.
 GRANT_EXPIRY_MS: Final = GRANT_MS * (1 + CLOCK_DRIFT) + 200.0
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -16,7 +16,7 @@
 from hyssopring.jobs.past_incarnation import PastIncarnation
 from hyssopring.jobs.poll_backoff import MAX_TIMEOUT_MS, PollBackoff
 from hyssopring.jobs.stall_detector import StallDetector
-from hyssopring.jobs.times import CLOCK_DRIFT, HOLD_MS, LONGEST_HOLD_MS
+from hyssopring.jobs.times import CLOCK_DRIFT, HOLD_MS, MAX_HOLD_MS
 from hyssopring.jobs.worker_port import (
     Announcement,
     Listing,
@@ -153,7 +153,7 @@
             self._backoff.reset()
         self.poll()
 
-    def withdraw(self, boot: str) -> None:
+    def deregister(self, boot: str) -> None:
         """Handle the deregistration of an incarnation of the worker."""
         if boot == self.boot:
             self.announced.withdraw()
@@ -331,7 +331,7 @@
         """How long a hold sent to the former incarnation may last."""
         assert self._candidate is not None, 'a candidate is being adopted'
         may_stray = self._candidate.target in {'', self._target}
-        return LONGEST_HOLD_MS if may_stray else 0
+        return MAX_HOLD_MS if may_stray else 0
 
     def _adopt(self, request: PollRequest, listing: Listing) -> None:
         assert self._candidate is not None, 'only a candidate is adopted'
--- a/hyssopring/jobs/worker_port.py
+++ b/hyssopring/jobs/worker_port.py
@@ -60,7 +60,7 @@
 
     Attributes:
         boot: ID of the worker's incarnation.
-        room: Total resources of the worker.
+        capacity: Total resources of the worker.
         remaining_ms: How long a leaving worker will run at least.
         sequence: Increases with each announcement of an incarnation; a lower
             one is out of date.
@@ -71,7 +71,7 @@
 
     boot: str
     service: str
-    room: Size
+    capacity: Size
     labels: tuple[str, ...]
     is_leaving: bool
     remaining_ms: int
--- a/hyssopring/jobs/workers.py
+++ b/hyssopring/jobs/workers.py
@@ -36,14 +36,14 @@
         percent: Progress, as the task reports it.
         load: See ``AttemptReport``.
         pace: Allowed percentage of its processor time; negative if unknown.
-        reports: The number of reports that included it.
+        report_count: The number of reports that included it.
         slow_since: Since when its pace has been low, None if it is not.
         observed_since: When a report first included it.
         observed_ms: How long from then on its worker has been answering.
     """
 
     name: TaskName
-    number: int
+    attempt: int
     step: Step
     boot: str
     start_index: int
@@ -52,7 +52,7 @@
     percent: int = 0
     load: int = 0
     pace: int = 100
-    reports: int = 0
+    report_count: int = 0
     slow_since: float | None = None
     is_stopping: bool = False
     observed_since: float | None = None
@@ -64,10 +64,10 @@
 
         Measurements cover 500 ms and are reported as often.
         """
-        return self.reports > _UNMEASURED_REPORTS
+        return self.report_count > _UNMEASURED_REPORTS
 
     @property
-    def cpu_in_use(self) -> float:
+    def cpu_used_millis(self) -> float:
         """Thousandths of a core that a best-effort task uses now.
 
         Tasks use less than they request, some by a third. Counting requests
@@ -86,7 +86,7 @@
         requested_millis = self.step.size.cpu_millis
         if self.has_measured_usage and self.pace >= _SLOW_PACE:
             return min(
-                requested_millis, self.cpu_in_use * _FULL_PACE / self.pace
+                requested_millis, self.cpu_used_millis * _FULL_PACE / self.pace
             )
         return requested_millis
 
@@ -102,7 +102,7 @@
         Args:
             silent_ms: How long the worker has not answered its agent.
         """
-        self.reports += 1
+        self.report_count += 1
         if self.observed_since is None:
             self.observed_since = now_ms
         self.observed_ms = now_ms - silent_ms - self.observed_since
@@ -159,7 +159,7 @@
         return labels[-1] if labels else ''
 
     @property
-    def room(self) -> Size:
+    def capacity(self) -> Size:
         """Total resources of the worker."""
         report = self.report
         if report is None:
@@ -182,7 +182,7 @@
         )
         for placed in self.placed_by_task.values():
             used = used.plus(placed.step.reserved_size)
-        return self.room.minus(used)
+        return self.capacity.minus(used)
 
     def best_effort_tasks(self) -> list[PlacedAttempt]:
         """Return the best-effort tasks placed there."""
@@ -200,7 +200,7 @@
             if placed.step.target_ms
         ]
 
-    def exposure(self) -> tuple[int, int]:
+    def task_counts(self) -> tuple[int, int]:
         """Return how many keepers, and how many tasks, it would lose."""
         placed = self.placed_by_task.values()
         return sum(each.step.is_keeper for each in placed), len(placed)
@@ -242,7 +242,7 @@
         return self.silent_since is not None
 
     @property
-    def has_no_worker(self) -> bool:
+    def is_without_worker(self) -> bool:
         """Whether the agent is connected and nothing can run on its VM.
 
         No worker has answered for longer than any hold lasts, including one
--- a/hyssopring/leases/shard_leases.py
+++ b/hyssopring/leases/shard_leases.py
@@ -63,7 +63,7 @@
         lease = self._lease_by_shard.get(shard)
         return lease is not None and lease.epoch == epoch
 
-    def until(self, shard: int, kind: TaskKind) -> float:
+    def expiry_of(self, shard: int, kind: TaskKind) -> float:
         """Return when the lease for tasks of this kind expires, in ms.
 
         Return 0 if there is no lease.
--- a/hyssopring/membership/directory.py
+++ b/hyssopring/membership/directory.py
@@ -79,7 +79,7 @@
         """Ids of the connected entries."""
         return self._addresses.connected
 
-    def learn(
+    def update_members(
         self,
         source: str,
         members: tuple[EntryMember, ...],
@@ -108,7 +108,7 @@
         """
         self._pinned = frozenset(shards)
 
-    def due(self) -> list[str]:
+    def claim_due_addresses(self) -> list[str]:
         """Return the addresses to dial now, and mark them as being dialled."""
         connected = self.connected
         wanted = [
@@ -119,7 +119,7 @@
         due = dict.fromkeys([*wanted, *self._due_seeds(bool(wanted))])
         return [address for address in due if self._addresses.dial(address)]
 
-    def greets(self, address: str, entry_id: str) -> bool:
+    def should_connect(self, address: str, entry_id: str) -> bool:
         """Whether to greet the entry that was found at an address.
 
         A load balancer may lead to an entry that is connected already;
@@ -131,7 +131,7 @@
         """Record that an entry has welcomed this agent at an address."""
         self._addresses.attach(address, entry_id)
 
-    def lost(self, entry_id: str) -> None:
+    def record_lost(self, entry_id: str) -> None:
         """Record that the newest connection to an entry has ended."""
         address = self._addresses.detach(entry_id)
         self._members_by_source.pop(entry_id, None)
@@ -151,7 +151,7 @@
         self._addresses.fail(address, is_refused, is_large)
         self._forget_failed()
 
-    def skipped(self, address: str) -> None:
+    def record_skipped(self, address: str) -> None:
         """Record that an address led to an entry connected already."""
         self._addresses.rest(address)
 
@@ -164,7 +164,7 @@
             return []
         return sorted(connected - targets)
 
-    def to_tell(self) -> dict[str, tuple[EntryMember, ...]]:
+    def pending_announcements(self) -> dict[str, tuple[EntryMember, ...]]:
         """Return, by entry, the connected entries missing from its list.
 
         Only connected entries are reported, so that the lists do not keep a
@@ -205,7 +205,7 @@
         address = self._addresses.address_of(entry_id)
         if address is None or not own_addresses or address in own_addresses:
             return
-        self.skipped(address)
+        self.record_skipped(address)
         self.opened(own_addresses[0], entry_id)
 
     def _targets(self) -> tuple[EntryMember, ...]:
--- a/hyssopring/membership/fleet.py
+++ b/hyssopring/membership/fleet.py
@@ -49,7 +49,7 @@
     Attributes:
         generation: Number of its connection; messages of connections with a
             lower number are ignored.
-        heard_at: When its last heartbeat was received.
+        last_received_at: When its last heartbeat was received.
         heartbeat_interval_ms: Maximum time between its heartbeats.
         sequence: Number of its last heartbeat.
         is_suspect: It has not responded to a ping in time.
@@ -65,7 +65,7 @@
     capacity: Resources
     free: Resources
     configuration_version: int
-    heard_at: float
+    last_received_at: float
     heartbeat_interval_ms: float = 1000
     is_stopping: bool = False
     sequence: int = 0
@@ -131,7 +131,7 @@
             capacity=hello.capacity,
             free=hello.capacity,
             configuration_version=hello.configuration_version,
-            heard_at=now_ms,
+            last_received_at=now_ms,
         )
         self._agent_by_id[hello.agent_id] = record
         return record
@@ -154,7 +154,7 @@
 
         A heartbeat lists all backend servers; others are removed.
         """
-        record.heard_at = now_ms
+        record.last_received_at = now_ms
         record.sequence = message.sequence
         record.free = message.free
         record.usage = message.usage
--- a/hyssopring/membership/roster.py
+++ b/hyssopring/membership/roster.py
@@ -51,11 +51,11 @@
             member_by_id[entry_id] for entry_id in sorted(member_by_id)
         )
 
-    def listed(self, members: Sequence[EntryMember]) -> None:
+    def set_registered(self, members: Sequence[EntryMember]) -> None:
         """Set the entries that are registered in the table."""
         self._listed = tuple(members)
 
-    def heard(self, members: Sequence[EntryMember]) -> None:
+    def add_reported(self, members: Sequence[EntryMember]) -> None:
         """Add entries that an agent reports to be connected to."""
         now_ms = self._clock.now()
         for member in members:
--- a/hyssopring/placement/mitigation.py
+++ b/hyssopring/placement/mitigation.py
@@ -53,7 +53,7 @@
         guard_step = self.tail_guard.review(record, now_ms)
         is_memory_exceeded = self._is_memory_exceeded(record, now_ms)
         if not (
-            guard_step or is_memory_exceeded or self._has_other_share(record)
+            guard_step or is_memory_exceeded or self._has_share_mismatch(record)
         ):
             return
         local_tasks = [
@@ -76,7 +76,7 @@
         self.share_control.remove_agent(agent_id)
         self._memory_evicted_at_by_agent.pop(agent_id, None)
 
-    def _has_other_share(self, record: AgentRecord) -> bool:
+    def _has_share_mismatch(self, record: AgentRecord) -> bool:
         """Whether a reported share differs from the required one."""
         return any(
             group.kind == TaskKind.BATCH.value
--- a/hyssopring/placement/pending_starts.py
+++ b/hyssopring/placement/pending_starts.py
@@ -78,4 +78,4 @@
             if task.is_confirmed:
                 start.confirmed_at = now_ms
             return True
-        return record.heard_at <= start.confirmed_at
+        return record.last_received_at <= start.confirmed_at
--- a/hyssopring/platform/agent_process.py
+++ b/hyssopring/platform/agent_process.py
@@ -63,7 +63,7 @@
         )
         self._reports = ReportsResource(
             self.core.monitor.announce,
-            self.core.monitor.withdraw,
+            self.core.monitor.deregister,
             settings.own_hosts,
         )
         self._is_stopping = False
@@ -127,4 +127,4 @@
         if isinstance(message, EntryAddresses):
             self._dialler.add_addresses(message.addresses)
         else:
-            self.core.take(message, entry_id)
+            self.core.handle_message(message, entry_id)
--- a/hyssopring/platform/entry_process.py
+++ b/hyssopring/platform/entry_process.py
@@ -25,7 +25,7 @@
 from hyssopring.jobs.queues import QueueTable
 from hyssopring.jobs.relay import RelayedStore
 from hyssopring.jobs.stored_configuration import StoredConfiguration
-from hyssopring.jobs.times import RENEW_MS
+from hyssopring.jobs.times import ENTRY_HEARTBEAT_MS
 from hyssopring.lifecycle import Lifecycle
 from hyssopring.logs import Event, log_event
 from hyssopring.metrics import Metrics
@@ -118,11 +118,11 @@
         """See ``RelayPeers``."""
         return self._dialler.connected
 
-    def to_entry(self, entry_id: str, message: JobsMessage) -> bool:
+    def send_to_entry(self, entry_id: str, message: JobsMessage) -> bool:
         """See ``PeerTransport``."""
         return self._dialler.send(entry_id, message)
 
-    def answer(self, peer_id: str, message: JobsMessage) -> bool:
+    def send_response(self, peer_id: str, message: JobsMessage) -> bool:
         """See ``PeerTransport``."""
         return self._listener.send(peer_id, message)
 
@@ -137,7 +137,7 @@
         self._follower.start()
         self._membership.tick()
         every = self._lifecycle.every
-        every(RENEW_MS / MILLIS_PER_SECOND, self._renew_membership)
+        every(ENTRY_HEARTBEAT_MS / MILLIS_PER_SECOND, self._renew_membership)
         every(_TICK_INTERVAL_S, self.core.tick)
         every(_POLL_INTERVAL_S, self.core.poll)
         every(LINK_TICK_INTERVAL_S, self._dialler.tick)
@@ -191,7 +191,9 @@
         shards = self.core.owner.shards
         gauge('shards_owned', len(shards.by_shard))
         gauge('jobs_live', len(shards.live_jobs()))
-        gauge('lasting_tasks_waiting', self.core.owner.waits.waiting)
+        gauge(
+            'lasting_tasks_waiting', self.core.owner.keeper_waits.waiting_count
+        )
         gauge('agents_connected', len(self.core.agents))
         gauge('requests_open', self._callers.open_requests)
         table = self._callers.table
@@ -203,7 +205,7 @@
         stored: StoredConfiguration,
     ) -> None:
         self._callers.table = table
-        self.core.configuration.applied(table.version, stored)
+        self.core.configuration.announce(table.version, stored)
 
     def _on_entries(self) -> None:
         addresses = sorted(self._membership.addresses.values())
@@ -211,14 +213,14 @@
             self._entry_addresses = addresses
             self._dialler.set_addresses(addresses)
             for agent_id in self.core.agents:
-                self.answer(agent_id, EntryAddresses(addresses))
+                self.send_response(agent_id, EntryAddresses(addresses))
 
     def _on_greeting(self, peer_id: str, greeting: JobsMessage) -> None:
         if isinstance(greeting, AgentGreeting):
             self.core.agent_connected(peer_id, greeting.zone)
-            self.answer(peer_id, EntryAddresses(self._entry_addresses))
+            self.send_response(peer_id, EntryAddresses(self._entry_addresses))
         else:
-            self.core.configuration.greeted(peer_id)
+            self.core.configuration.announce_to(peer_id)
 
     def _handle_message(self, peer_id: str, message: JobsMessage) -> None:
         self.core.handle_message(message, peer_id)
--- a/hyssopring/routing/admission.py
+++ b/hyssopring/routing/admission.py
@@ -83,7 +83,7 @@
             ErrorKind.OVERLOADED,
             f'expected in {choice.total_ms:.0f} ms, '
             f'allowed {budget_ms * share:.0f} ms',
-            round(max(choice.wait_ms, _MIN_RETRY_MS)),
+            round(max(choice.queue_wait_ms, _MIN_RETRY_MS)),
         )
 
     def _entry_rate(self, team: str) -> float:
--- a/hyssopring/routing/selector.py
+++ b/hyssopring/routing/selector.py
@@ -43,14 +43,14 @@
 
     Attributes:
         backend: The chosen backend server.
-        why: Reason for the log.
-        wait_ms: Expected wait for a slot.
+        reason: Reason for the log.
+        queue_wait_ms: Expected wait for a slot.
         total_ms: Expected time until the answer, including the wait.
     """
 
     backend: BackendView
-    why: str
-    wait_ms: float = 0
+    reason: str
+    queue_wait_ms: float = 0
     total_ms: float = 0
 
 
@@ -107,7 +107,7 @@
             state.update_load(call_count, view.reported_at)
         return state
 
-    def forget(self, record: AgentRecord) -> None:
+    def remove_agent(self, record: AgentRecord) -> None:
         """Drop the state of a disconnected agent's backends."""
         self._states_by_agent.pop(record.agent_id, None)
 
--- a/standins/configuration_site.py
+++ b/standins/configuration_site.py
@@ -49,17 +49,17 @@
         """See ``RelayPeers``."""
         return [name for name in self._site.by_name if name != self.name]
 
-    def to_entry(self, entry_id, message):
+    def send_to_entry(self, entry_id, message):
         """See ``PeerTransport``."""
         return self._site.deliver(self.name, entry_id, message)
 
-    def answer(self, peer_id, message):
+    def send_response(self, peer_id, message):
         """See ``PeerTransport``."""
         return self._site.deliver(self.name, peer_id, message)
 
     def _on_configured(self, table, stored):
         self.in_force_at[table.version] = self._site.reactor.seconds()
-        self.shared.applied(table.version, stored)
+        self.shared.announce(table.version, stored)
 
 
 class ConfigurationSite:
--- a/standins/jobs/colocated.py
+++ b/standins/jobs/colocated.py
@@ -47,7 +47,7 @@
             report.boot,
             0,
             0,
-            reports=9,
+            report_count=9,
         )
         placed.load = (
             load if step.target_ms else step.size.cpu_millis * pace // 100
--- a/standins/jobs/processes.py
+++ b/standins/jobs/processes.py
@@ -7,7 +7,7 @@
 from hyssopring.jobs.entry_core import JobEntryCore
 from hyssopring.jobs.entry_membership import EntryMembership
 from hyssopring.jobs.relay import RelayedStore
-from hyssopring.jobs.times import RENEW_MS
+from hyssopring.jobs.times import ENTRY_HEARTBEAT_MS
 from hyssopring.platform.reports import ReportsResource
 from hyssopring.platform.worker import PlatformWorker
 from standins.jobs.advice import AdviceLink
@@ -108,7 +108,7 @@
             self,
             AdviceLink(deployment.advice, name, self.reactor),
         )
-        self.every(RENEW_MS / MILLIS_PER_SECOND, self.membership.tick)
+        self.every(ENTRY_HEARTBEAT_MS / MILLIS_PER_SECOND, self.membership.tick)
         self.every(ENTRY_TICK_S, self.core.tick)
         self.every(POLL_S, self.core.poll)
         self.reactor.callLater(0, self.membership.tick)
@@ -124,10 +124,10 @@
             and not self.deployment.is_cut(self.name, name)
         ]
 
-    def to_entry(self, entry_id, message):
+    def send_to_entry(self, entry_id, message):
         return self.deployment.carry(self, entry_id, message)
 
-    def answer(self, peer_id, message):
+    def send_response(self, peer_id, message):
         return self.deployment.carry(self, peer_id, message)
 
     def take(self, message, sender):
@@ -191,7 +191,7 @@
         )
         monitor = self.core.monitor
         self.reports = ReportsResource(
-            monitor.announce, monitor.withdraw, (OWN_HOST,)
+            monitor.announce, monitor.deregister, (OWN_HOST,)
         )
         self.links = set()
         self.every(AGENT_TICK_S, self.core.tick)
@@ -221,4 +221,4 @@
         self.deployment.carry(self, entry_id, message)
 
     def take(self, message, sender):
-        self.core.take(message, sender)
+        self.core.handle_message(message, sender)
--- a/standins/runner_wire.py
+++ b/standins/runner_wire.py
@@ -125,9 +125,9 @@
         'coldRemainingMs': 0,
         'remainingMs': announced.remaining_ms,
         'freeCapacity': {
-            'cpu': announced.room.cpu_millis,
-            'memMb': announced.room.memory_mb,
-            'gpu': announced.room.accelerators,
+            'cpu': announced.capacity.cpu_millis,
+            'memMb': announced.capacity.memory_mb,
+            'gpu': announced.capacity.accelerators,
         },
         'labels': list(announced.labels),
         'clockMs': announced.clock_ms,
--- a/standins/virtual/agent.py
+++ b/standins/virtual/agent.py
@@ -86,14 +86,14 @@
 
     def _dial(self):
         directory = self.core.directory
-        for address in directory.due():
+        for address in directory.claim_due_addresses():
             entry = self.deployment.resolve(address)
             if entry is None or not self.deployment.can_dial(self, entry):
                 directory.closed(address)
-            elif directory.greets(address, entry.name):
+            elif directory.should_connect(address, entry.name):
                 Link(self.deployment, entry, self, address)
             else:
-                directory.skipped(address)
+                directory.record_skipped(address)
         for entry_id in self.core.closable_entries():
             self.link_by_entry[entry_id].close()
         for name, link in list(self.link_by_entry.items()):
--- a/standins/virtual/links.py
+++ b/standins/virtual/links.py
@@ -97,7 +97,7 @@
     def _closed_at_agent(self):
         directory = self.agent.core.directory
         if self.is_welcomed:
-            directory.lost(self.entry.name)
+            directory.record_lost(self.entry.name)
         else:
             directory.closed(self.address)
 
--- a/tests/test_border_rows.py
+++ b/tests/test_border_rows.py
@@ -62,7 +62,7 @@
     peers = PeerEntries(ManualClock(), 'me')
     good = EntryRow('b:1', '1', (0,), 2).to_text()
     for _reading in range(3):
-        peers.read([entry_row('a', text), entry_row('b', good)])
+        peers.update([entry_row('a', text), entry_row('b', good)])
     assert peers.addresses == {'b': 'b:1'} and peers.owner_of(0) == 'b'
     assert len(errors) == 1 and 'a' in errors[0]['peer']
 
@@ -71,13 +71,13 @@
     clock = ManualClock()
     peers = PeerEntries(clock, 'me')
     good = EntryRow('b:1', '1', (0,), 2).to_text()
-    peers.read([entry_row('b', good)])
-    peers.read([entry_row('b', 'malformed', 2)])
+    peers.update([entry_row('b', good)])
+    peers.update([entry_row('b', 'malformed', 2)])
     assert peers.addresses and peers.is_owner_live(OwnerRow('b', '1', 1), 1)
     clock.advance(10_000)
-    peers.read([entry_row('b', 'malformed', 3)])
+    peers.update([entry_row('b', 'malformed', 3)])
     assert not peers.addresses
-    peers.read([entry_row('b', good, 4)])
+    peers.update([entry_row('b', good, 4)])
     assert peers.addresses
 
 
--- a/tests/test_border_runner.py
+++ b/tests/test_border_runner.py
@@ -89,7 +89,7 @@
     assert reports.send_heartbeat(**changes) == 400
     assert not reports.heartbeats and len(errors) == 1
     assert reports.send_heartbeat() == 200
-    assert reports.heartbeats[0].room.cpu_millis == 4000
+    assert reports.heartbeats[0].capacity.cpu_millis == 4000
 
 
 @pytest.mark.parametrize(
@@ -193,7 +193,7 @@
     listing = poll(worker_with(None), running=[row])
     assert listing.is_complete and listing.rows[0].task == TASK
     table = AttemptTable()
-    assert table.listed(listing.rows[0], 0).number == 0
+    assert table.update_listed(listing.rows[0], 0).number == 0
 
 
 def test_listing_with_a_malformed_field_fails(errors):  # noqa: F811
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -169,10 +169,10 @@
 class DeafPeers:
     """Connections to other entries that lose each message."""
 
-    def to_entry(self, entry_id, message):
+    def send_to_entry(self, entry_id, message):
         return False
 
-    def answer(self, peer_id, message):
+    def send_response(self, peer_id, message):
         return False
 
 
--- a/tests/test_jobs_absences.py
+++ b/tests/test_jobs_absences.py
@@ -229,10 +229,14 @@
 
 def test_a_series_of_epochs_begins_anew_after_a_gap():
     """Rows written before an owner that does not keep them are ignored."""
-    assert RosterRow(0, 0).next(0) == RosterRow(1, 1, is_complete=True)
-    assert RosterRow(4, 2).next(4) == RosterRow(5, 2)
-    assert RosterRow(4, 2, is_complete=True).next(4).is_complete
-    assert RosterRow(4, 2, is_complete=True).next(5) == RosterRow(6, 6)
+    assert RosterRow(0, 0).for_next_owner(0) == RosterRow(
+        1, 1, is_complete=True
+    )
+    assert RosterRow(4, 2).for_next_owner(4) == RosterRow(5, 2)
+    assert RosterRow(4, 2, is_complete=True).for_next_owner(4).is_complete
+    assert RosterRow(4, 2, is_complete=True).for_next_owner(5) == RosterRow(
+        6, 6
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_jobs_agents.py
+++ b/tests/test_jobs_agents.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hyssopring.jobs.messages import StartOrder, StartRefusal, TaskFacts
+from hyssopring.jobs.messages import StartOrder, StartRefusal, TaskRequirements
 from hyssopring.jobs.model import JobState, Size
 from standins.jobs.deployment import a_job, settled, starts_of
 
@@ -173,12 +173,12 @@
     connection = owner.fleet.by_agent['agent-0'].connection
     for index in range(3):
         task = f'{1:016x}.0.0.{index}'
-        facts = TaskFacts(task, 1, 6000, 1000, 0, 0, False, '')
+        facts = TaskRequirements(task, 1, 6000, 1000, 0, 0, False, '')
         deployment.book.sizes[f'{1:016x}'] = Size(6000, 1000, 0)
         order = StartOrder(
             0, epoch, agent.worker.boot, 'x', '', facts, connection
         )
-        agent.core.take(order, deployment.owner)
+        agent.core.handle_message(order, deployment.owner)
     refusals = [
         message for message in sent if isinstance(message, StartRefusal)
     ]
--- a/tests/test_jobs_colocation.py
+++ b/tests/test_jobs_colocation.py
@@ -7,7 +7,7 @@
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.attempts import Attempt, Phase
 from hyssopring.jobs.interference import InterferenceEstimate, InterferenceModel
-from hyssopring.jobs.messages import TaskFacts
+from hyssopring.jobs.messages import TaskRequirements
 from hyssopring.jobs.model import TaskName
 from hyssopring.jobs.pacing import Pacer
 from hyssopring.jobs.placement_option import NEGLIGIBLE_INTERFERENCE
@@ -18,7 +18,7 @@
 
 
 def attempt_of(step, load=0, pace=100, task='task'):
-    facts = TaskFacts(
+    facts = TaskRequirements(
         task,
         1,
         step.size.cpu_millis,
--- a/tests/test_jobs_configuration.py
+++ b/tests/test_jobs_configuration.py
@@ -29,14 +29,14 @@
     """Record the receivers of configuration texts sent from now on."""
     sent = []
     for entry in deployment.entries.values():
-        send_original = entry.answer
+        send_original = entry.send_response
 
-        def answer(peer_id, message, send_original=send_original):
+        def record_and_send(peer_id, message, send_original=send_original):
             if isinstance(message, (ConfigurationText, ConfigurationPart)):
                 sent.append(peer_id)
             return send_original(peer_id, message)
 
-        entry.answer = answer
+        entry.send_response = record_and_send
     return sent
 
 
@@ -50,7 +50,7 @@
     deployment = settled()
     received_by_entry = record_received(deployment)
     for name in ('entry-0', 'entry-1'):
-        deployment.entries[name].core.configuration.applied(7, SEVEN)
+        deployment.entries[name].core.configuration.announce(7, SEVEN)
     deployment.run(0.5)
     assert received_by_entry == {
         'entry-0': [],
@@ -65,7 +65,7 @@
     sent = record_sent_texts(deployment)
     received_by_entry = record_received(deployment)
     for entry in deployment.entries.values():
-        entry.core.configuration.applied(7, SEVEN)
+        entry.core.configuration.announce(7, SEVEN)
         deployment.run(0.05)
     deployment.run(2)
     assert not sent
@@ -76,9 +76,9 @@
     """Two entries announce a new version, and the first is killed."""
     deployment = settled()
     received_by_entry = record_received(deployment)
-    deployment.entries['entry-0'].core.configuration.applied(7, SEVEN)
+    deployment.entries['entry-0'].core.configuration.announce(7, SEVEN)
     deployment.run(0.1)
-    deployment.entries['entry-1'].core.configuration.applied(7, SEVEN)
+    deployment.entries['entry-1'].core.configuration.announce(7, SEVEN)
     deployment.run(0.1)
     deployment.kill_entry('entry-0')
     deployment.run(1)
@@ -90,11 +90,11 @@
     deployment = settled()
     received_by_entry = record_received(deployment)
     holder, newcomer = deployment.entries['entry-0'], 'entry-1'
-    holder.core.configuration.applied(7, SEVEN)
+    holder.core.configuration.announce(7, SEVEN)
     received_by_entry[newcomer].clear()
     deployment.run(1)
     received_by_entry[newcomer].clear()
-    holder.core.configuration.greeted(newcomer)
+    holder.core.configuration.announce_to(newcomer)
     deployment.run(0.5)
     assert received_by_entry[newcomer] == [SEVEN]
 
--- a/tests/test_jobs_configuration_parts.py
+++ b/tests/test_jobs_configuration_parts.py
@@ -33,11 +33,11 @@
     def __init__(self):
         self.sent = []
 
-    def answer(self, peer_id, message):
+    def send_response(self, peer_id, message):
         self.sent.append((peer_id, message))
         return True
 
-    to_entry = answer
+    send_to_entry = send_response
 
     def last(self):
         return self.sent[-1]
@@ -57,7 +57,7 @@
     def _on_stored(self, stored):
         self.received.append(stored)
         version = {LARGE: SEVEN, LARGER: EIGHT}[stored]
-        self.shared.applied(version, stored)
+        self.shared.announce(version, stored)
 
     def deliver(self, holder, message):
         self.shared.handle_message(message, holder)
@@ -74,7 +74,7 @@
 
 def create_holder(version=SEVEN, stored=LARGE):
     holder = SharedConfiguration(Clock(), Peers())
-    holder.applied(version, stored)
+    holder.announce(version, stored)
     return holder
 
 
@@ -130,7 +130,7 @@
     requester = Requester()
     holder = create_holder()
     requester.deliver('one', response_of(holder, requester.peers.last()[1]))
-    holder.applied(EIGHT, LARGER)
+    holder.announce(EIGHT, LARGER)
     requester.get_all_from('one', holder)
     assert requester.received == [LARGER]
 
@@ -158,7 +158,7 @@
 def test_transfer_stops_when_the_store_delivers_the_version():
     requester = Requester()
     part = response_of(create_holder(), requester.peers.last()[1])
-    requester.shared.applied(SEVEN, LARGE)
+    requester.shared.announce(SEVEN, LARGE)
     requester.deliver('one', part)
     requester.clock.advance(2)
     assert len(requester.peers.sent) == 1
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -102,7 +102,7 @@
     deployment, number, worker = deploy_keepers()
     agent = deployment.agents[f'agent-{number}']
     deployment.entries[deployment.owner].core.release()
-    agent.core.monitor.withdraw(worker.boot)
+    agent.core.monitor.deregister(worker.boot)
     worker.is_dark = True
     for run in list(worker.runs.values()):
         worker.end(run, AttemptEnd.STOPPED)
--- a/tests/test_jobs_load.py
+++ b/tests/test_jobs_load.py
@@ -77,12 +77,13 @@
     """
     worker = worker_with('busy soon', *[FILLER] * 8)
     for placed in worker.placed_by_task.values():
-        placed.load, placed.reports = 0, 1
+        placed.load, placed.report_count = 0, 1
     assert agent_chosen_for(FILLER, worker) is None
     for placed in worker.placed_by_task.values():
-        placed.reports = 9
+        placed.report_count = 9
     assert (
-        worker.best_effort_tasks()[0].cpu_in_use == FILLER.size.cpu_millis / 2
+        worker.best_effort_tasks()[0].cpu_used_millis
+        == FILLER.size.cpu_millis / 2
     )
 
 
@@ -261,7 +262,7 @@
         'Owned', (), {'shard': 0, 'epoch': 1, 'roster': fleet.by_agent}
     )()
     clock.advance(slow_ms)
-    owner._moves.relieve(fleet.schedulable_workers())
+    owner._moves.move_throttled_tasks(fleet.schedulable_workers())
     return stops
 
 
--- a/tests/test_jobs_lost_messages.py
+++ b/tests/test_jobs_lost_messages.py
@@ -135,7 +135,7 @@
     agent = deployment.agents['agent-0']
     owned = deployment.entries['entry-0'].core.owner.shards.by_shard[0]
     question = ReportRequest([ShardEpoch(0, owned.epoch)], 'earlier/1')
-    agent.core.take(question, 'entry-0')
+    agent.core.handle_message(question, 'entry-0')
     deployment.run(0.5)
     job = a_job(number=2, steps=((1, ()),))
     deployment.submit(job)
@@ -231,7 +231,7 @@
     deployment.run(0.5)
     fleet = deployment.entries['entry-0'].core.fleet
     (placed,) = fleet.by_agent['agent-0'].placed_by_task.values()
-    placed.number = 0
+    placed.attempt = 0
     deployment.run(4)
     assert [row[3] for row in deployment.book.ends] == [AttemptEnd.DONE]
 
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -99,7 +99,7 @@
     clock = ManualClock(0)
     peers = PeerEntries(clock, 'me')
     row = EntryRow('b:1', 'process', (), 1).to_text()
-    peers.read([Row(RowKey('hs_entry', '', 'b'), row, 5)])
+    peers.update([Row(RowKey('hs_entry', '', 'b'), row, 5)])
     clock.advance(4000)
     owner = OwnerRow('b', 'process', 2)
     assert peers.is_owner_live(owner, 7) is None
--- a/tests/test_jobs_relay.py
+++ b/tests/test_jobs_relay.py
@@ -88,7 +88,7 @@
     def __init__(self):
         self.requests = []
 
-    def to_entry(self, _entry_id, message):
+    def send_to_entry(self, _entry_id, message):
         self.requests.append(message)
         return True
 
@@ -102,14 +102,14 @@
     reactor, direct, peer = Clock(), _Direct(), _Peer()
     store = RelayedStore(reactor, ReactorClock(reactor), direct, peer)
     waits = [store.changes('op', 0, 800)]
-    store.answered(
+    store.handle_response(
         RelayedResponse(peer.requests[0].number, 'changes', 1, [], False)
     )
     waits.append(store.changes('op', 1, 800))
     direct.is_away = False
     reactor.advance(1.1)
     store.read('op', '')
-    store.answered(
+    store.handle_response(
         RelayedResponse(peer.requests[1].number, 'changes', 2, [], False)
     )
     relayed, calls = len(peer.requests), direct.calls
@@ -193,7 +193,7 @@
     def __init__(self):
         self.requests = []
 
-    def to_entry(self, entry_id, message):
+    def send_to_entry(self, entry_id, message):
         self.requests.append((entry_id, message.number))
         return True
 
@@ -212,7 +212,9 @@
         'silent',
         'served',
     ]
-    store.answered(RelayedResponse(peers.requests[1][1], 'page', 1, [], False))
+    store.handle_response(
+        RelayedResponse(peers.requests[1][1], 'page', 1, [], False)
+    )
     reactor.advance(0.3)
     store.read('op', '').addErrback(lambda failure: None)
     assert peers.requests[2][0] == 'served'
@@ -230,7 +232,7 @@
     class Links:
         connected_entries = []
 
-        def answer(self, peer_id, message):
+        def send_response(self, peer_id, message):
             responses.append((peer_id, message.number, message.kind))
 
     store = RelayedStore(reactor, ReactorClock(reactor), direct, Links())
--- a/tests/test_jobs_waits.py
+++ b/tests/test_jobs_waits.py
@@ -54,7 +54,12 @@
     deployment.workers[0].fail_all()
     deployment.run(10)
     assert not waits
-    assert deployment.entries[deployment.owner].core.owner.waits.waiting == 0
+    assert (
+        deployment.entries[
+            deployment.owner
+        ].core.owner.keeper_waits.waiting_count
+        == 0
+    )
 
 
 def test_wait_for_an_unreachable_agent_is_logged_with_its_duration(waits):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -129,35 +129,35 @@
         directory = EntryDirectory(
             clock, f'agent-{number}', ['10.0.0.0:1'], rng
         )
-        for address in directory.due():
+        for address in directory.claim_due_addresses():
             directory.opened(address, 'entry-0')
-        directory.learn('entry-0', listed_members, ())
+        directory.update_members('entry-0', listed_members, ())
         yield directory
 
 
 def test_last_list_is_kept_for_ten_minutes_after_its_entries_failed():
     clock = ManualClock(1000)
     (agent,) = directories(1, clock, entry_count=3)
-    agent.lost('entry-0')
+    agent.record_lost('entry-0')
     for minute in range(12):
         assert len(agent.members) == (3 if minute <= 10 else 0)
-        for address in agent.due():
+        for address in agent.claim_due_addresses():
             agent.closed(address)
         clock.advance(60_000)
-    assert agent.due() == ['10.0.0.0:1']
+    assert agent.claim_due_addresses() == ['10.0.0.0:1']
 
 
 def test_agents_of_a_returning_entry_do_not_reconnect_together():
     clock = ManualClock(1000)
     agents = list(directories(300, clock))
     for agent in agents:
-        agent.lost('entry-0')
+        agent.record_lost('entry-0')
     arrivals = []
     for step in range(300):
         clock.advance(100)
         is_back = step >= 100
         for agent in agents:
-            for address in agent.due():
+            for address in agent.claim_due_addresses():
                 if is_back:
                     agent.opened(address, 'entry-0')
                     arrivals.append(step)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -192,7 +192,9 @@
 def test_missed_deadline_is_predicted_and_less_urgent_refused_first():
     admission_control, _, _ = new_admission()
     choice = SelectorSetup().choose()
-    late_choice = type(choice)(choice.backend, '', wait_ms=700, total_ms=720)
+    late_choice = type(choice)(
+        choice.backend, '', queue_wait_ms=700, total_ms=720
+    )
     assert admission_control.deadline_failure(late_choice, 9, 1000) is None
     failure = admission_control.deadline_failure(late_choice, 2, 1000)
     assert failure.kind is ErrorKind.OVERLOADED
--- a/tests/test_worker_crashes.py
+++ b/tests/test_worker_crashes.py
@@ -49,7 +49,7 @@
         self.fleet = Fleet(self.clock)
         self.crashes = WorkerCrashes(self.clock, self.fleet)
         for number in range(AGENTS):
-            worker = self.fleet.connected(f'agent-{number}', 'zone')
+            worker = self.fleet.record_connection(f'agent-{number}', 'zone')
             worker.report = worker_report('first')
             worker.reported_at = START
 
