--- a/hyssopring/jobs/absences.py
+++ b/hyssopring/jobs/absences.py
@@ -5,7 +5,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.former_owner import FormerOwner
+from hyssopring.jobs.former_owner import FormerOwners
 from hyssopring.jobs.roster import Roster
 from hyssopring.jobs.store_clock import StoreClock
 
@@ -29,7 +29,7 @@
         clock: Clock,
         roster: Roster,
         epoch_rows: EpochRows,
-        former: FormerOwner,
+        former: FormerOwners,
         store_clock: StoreClock,
     ) -> None:
         """Create a writer for the rows of ``roster``."""
@@ -57,7 +57,7 @@
             unreported: Agents that may still run tasks of former owners.
         """
         now_ms = self._clock.now()
-        if not self._former.may_act:
+        if not self._former.may_grants_act:
             self._epoch_rows.clear_wait()
         for agent_id in self._roster.agents:
             if agent_id not in unreported and fleet.is_certainly_idle(agent_id):
@@ -71,7 +71,7 @@
         next processes, except those whose rows set an expiry.
         """
         stored_expires_at = self._roster.grant_expires_at(agent_id)
-        if not self._former.may_act or (
+        if not self._former.may_grants_act or (
             stored_expires_at is not None and stored_expires_at < now_ms
         ):
             self._roster.remove(agent_id)
--- a/hyssopring/jobs/agent_leases.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -1,4 +1,7 @@
-"""The leases under which an agent runs the tasks of each shard."""
+"""The leases under which an agent runs the tasks of each shard.
+
+An owner extends them with the grants that it sends in response to reports.
+"""
 
 from dataclasses import dataclass
 from typing import Iterable
--- a/hyssopring/jobs/documents.py
+++ b/hyssopring/jobs/documents.py
@@ -141,7 +141,7 @@
         again. The unknown owner and its agents are waited for like any
         silent ones. Its epoch is the row's version: each epoch took a
         commit and each commit raises the version, so no former epoch is
-        higher, and agents accept commands of the next one.
+        higher, and agents accept orders of the next one.
         """
         try:
             return cls.from_text(row.text)
@@ -198,14 +198,14 @@
 
 @dataclass(frozen=True)
 class RosterRow:
-    """Which owners of a shard have honoured the agents' rows.
+    """Which owners of a shard have maintained the agents' rows.
 
-    Owners of the previous release write no such row and renew the leases of
+    Owners of the previous release write no such row and send grants to
     agents without reading the agents' rows. Rows that were written before
     such an owner are therefore not relied on.
 
     Attributes:
-        reign: Last epoch that is known to have honoured the rows.
+        reign: Last epoch that is known to have maintained the rows.
         since: First epoch of the unbroken sequence that ends with ``reign``.
         is_complete: The rows list every agent that may run a keeper task.
     """
@@ -223,7 +223,11 @@
             return cls(0, 0)
 
     def for_next_owner(self, former_epoch: int) -> 'RosterRow':
-        """Return the row of the owner after ``former_epoch``; 0 for none."""
+        """Return the row for the next owner.
+
+        Args:
+            former_epoch: Epoch of the former owner, 0 if there was none.
+        """
         epoch = former_epoch + 1
         if not former_epoch:
             # No earlier owner has started any task.
@@ -243,7 +247,7 @@
 
     Attributes:
         over_ms: Set for an agent that was unreachable: the time, by the
-            store's clock, when all leases that any owner granted it have
+            store's clock, when all grants of any owner to it have
             expired, unless the row has changed since.
         reign: Epoch of the owner that wrote ``over_ms``.
         tasks: Names of the keeper tasks that it may run.
@@ -263,7 +267,7 @@
         return row
 
     @property
-    def is_suspended(self) -> bool:
+    def has_expiry(self) -> bool:
         """Whether the agent was unreachable when the row was written."""
         return self.over_ms is not None
 
@@ -282,8 +286,8 @@
         address: Address where it accepts agents and other entries.
         incarnation: Identifies one process of the entry.
         shards: The shards that it owns.
-        cores: Processor time that it has; the entry with the most is
-            preferred as owner.
+        cores: Number of cores that it may use, fractions included; the
+            entry with the most is preferred as owner.
     """
 
     address: str
--- a/hyssopring/jobs/end_table.py
+++ b/hyssopring/jobs/end_table.py
@@ -70,7 +70,7 @@
         Args:
             past: The incarnation that has ended.
             attempts: All attempts on it.
-            now: The time by the clock, in ms.
+            now_ms: The time by the clock, in ms.
         """
         if past.is_planned:
             return
--- a/hyssopring/jobs/entry_core.py
+++ b/hyssopring/jobs/entry_core.py
@@ -142,7 +142,7 @@
         if worker is None:
             return
         if not self.owner.shards.by_shard:
-            # An empty grant is still a sign of life for the agent.
+            # An empty grant shows the agent that this entry runs.
             self._peers.send_response(peer_id, Grant(message.sequence, [], 0))
         self.owner.handle_message(message, worker)
 
--- a/hyssopring/jobs/entry_membership.py
+++ b/hyssopring/jobs/entry_membership.py
@@ -55,7 +55,7 @@
 # take time.
 _RANK_DELAY_MS: Final = 1.5 * ENTRY_HEARTBEAT_MS
 
-# An entry releases its shards to one with this many times its processor time.
+# An entry releases its shards to one with this many times its cores.
 # Releases are limited, as a handover stops planning for up to a second.
 _RELEASE_CORES_RATIO: Final = 1.5
 _RELEASE_INTERVAL_MS: Final = 30_000.0
@@ -99,7 +99,7 @@
         # The version of this entry's row, 0 for none.
         self._version = 0
         self._is_renewing = False
-        self._is_stale = False
+        self._must_renew_again = False
         self._pending_takeovers: set[int] = set()
         self._free_since: dict[int, float] = {}
         # By owner row version: when it was first read while nothing is known
@@ -171,10 +171,10 @@
         """Write this entry's row with the shards that it owns."""
         if self._is_renewing:
             # The write in flight may list other shards; write again after it.
-            self._is_stale = True
+            self._must_renew_again = True
             return
         self._is_renewing = True
-        self._is_stale = False
+        self._must_renew_again = False
         sent_at = self._clock.now()
         row = EntryRow(
             self._address,
@@ -217,7 +217,7 @@
             # next tick would delay all work by a second after a restart of
             # all entries.
             self.tick()
-        if self._is_stale:
+        if self._must_renew_again:
             self.renew()
 
     def _on_renewal_failed(self, failure: TwistedFailure) -> None:
@@ -231,14 +231,14 @@
     def _on_entry_rows(self, page: Page) -> None:
         now_ms = self._clock.now()
         for row in self._peers.update(page.rows):
-            self._remove_stale_row(row)
+            self._remove_dead_row(row)
         self.on_entries()
         if not self._is_stopping:
             self._release_to_stronger(now_ms)
             self._take_free_shards(now_ms)
 
-    def _remove_stale_row(self, row: Row) -> None:
-        """Remove the row of an entry that has been dead for long."""
+    def _remove_dead_row(self, row: Row) -> None:
+        """Remove the row of an entry that has been dead for a long time."""
         deferred = self._store.commit(
             Transaction(
                 (RowCheck(row.row_key, row.version),), (), (row.row_key,)
@@ -263,7 +263,7 @@
     def _rank(self, shard: int) -> int:
         """Return how many live entries precede this one for a shard.
 
-        Entries with more processor time come first: an overloaded planner
+        Entries with more cores come first: an overloaded planner
         stops sending grants to agents while its own row is still renewed.
         """
         cores_by_entry = self._peers.live_cores_by_entry()
@@ -276,7 +276,7 @@
         return (position - shard) % len(ranked)
 
     def _release_to_stronger(self, now_ms: float) -> None:
-        """Release all shards if an entry has far more processor time."""
+        """Release all shards if an entry has far more cores."""
         strongest = max(self._peers.live_cores_by_entry().values(), default=0)
         is_weak = strongest > _RELEASE_CORES_RATIO * self._cores
         if is_weak and self.owned() and now_ms > self._next_release_at:
@@ -344,10 +344,10 @@
             takeover.epoch,
             version=0,
             acquired_at=sent_at,
-            in_doubt=unconfirmed,
+            unconfirmed=unconfirmed,
             confirmed_at=sent_at,
             former=unconfirmed_owner,
-            over_since=self._former_ended_at.get(takeover.version),
+            former_ended_at=self._former_ended_at.get(takeover.version),
             roster=takeover.next_roster,
         )
         return deferred.addCallback(self._on_takeover, acquired)
@@ -367,8 +367,8 @@
 
 
 def _do_nothing() -> None:
-    """No owner is set yet."""
+    """Do nothing; the default of a callback."""
 
 
 def _ignore_shard(_acquired: AcquiredShard) -> None:
-    """No owner is set yet."""
+    """Do nothing; the default of a callback."""
--- a/hyssopring/jobs/epoch_rows.py
+++ b/hyssopring/jobs/epoch_rows.py
@@ -27,11 +27,12 @@
     Both are written with the owner row at a takeover, and changed later.
 
     Attributes:
-        row: The epochs whose owners have kept the agents' rows.
+        row: The epochs whose owners have maintained the agents' rows.
         is_complete: Whether the agents' rows name all agents that may run a
             keeper's task.
-        must_retract: Whether the stored row claims completeness wrongly. No
-            agent's row may be written before that is corrected.
+        must_write_incomplete: Whether the stored row is wrongly marked
+            complete. No agent's row may be written before it is marked
+            incomplete.
         has_wait_row: Whether the row of former owners is stored, so that the
             next owner waits for them.
     """
@@ -47,7 +48,7 @@
         """Create the rows; writes are restricted by ``owner_check``."""
         self.row = row
         self.is_complete = row.is_complete
-        self.must_retract = False
+        self.must_write_incomplete = False
         self.has_wait_row = has_wait_row
         self._store = store
         self._shard = shard
@@ -65,9 +66,11 @@
 
         A malformed agent's row may have listed any task.
         """
-        self.must_retract = self.must_retract or self.is_complete
+        self.must_write_incomplete = (
+            self.must_write_incomplete or self.is_complete
+        )
         self.is_complete = False
-        if self.must_retract:
+        if self.must_write_incomplete:
             self._write_completeness(is_complete=False)
 
     def _write_completeness(self, is_complete: bool) -> None:
@@ -103,7 +106,7 @@
     ) -> None:
         if isinstance(outcome, Committed):
             self.is_complete = is_complete
-            self.must_retract = False
+            self.must_write_incomplete = False
 
     def _finish_writing(self, _done: Any) -> None:
         self._is_writing = False
--- a/hyssopring/jobs/former_owner.py
+++ b/hyssopring/jobs/former_owner.py
@@ -8,7 +8,7 @@
 from hyssopring.jobs.messages import ShardReleased
 from hyssopring.jobs.times import GRANT_EXPIRY_MS, ROSTER_WAIT_MS
 
-__all__ = ('AcquiredShard', 'FormerOwner')
+__all__ = ('AcquiredShard', 'FormerOwners')
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,40 +20,41 @@
         epoch: The epoch of the new owner.
         version: The version of the owner row.
         acquired_at: When the takeover succeeded.
-        in_doubt: Former owners that may still send orders: they have not
+        unconfirmed: Former owners that may still send orders: they have not
             released the shard and are not known to be dead.
         confirmed_at: When the call was sent that took the shard.
-        former: The owner before this one if it is among ``in_doubt``.
-        over_since: Since when the former owner is known to have ended.
-        roster: The epochs whose owners have kept the agents' rows.
+        former: The owner before this one if it is among ``unconfirmed``.
+        former_ended_at: Since when the former owner is known to have
+            ended, by a release or because its process is dead.
+        roster: The epochs whose owners have maintained the agents' rows.
     """
 
     shard: int
     epoch: int
     version: int
     acquired_at: float
-    in_doubt: tuple[FormerOwnerProcess, ...]
+    unconfirmed: tuple[FormerOwnerProcess, ...]
     confirmed_at: float
     former: FormerOwnerProcess | None = None
-    over_since: float | None = None
+    former_ended_at: float | None = None
     roster: RosterRow = RosterRow(0, 0)
 
     @property
     def is_former_over(self) -> bool:
         """Whether no former owner sends orders any more."""
-        return not self.in_doubt
+        return not self.unconfirmed
 
 
-class FormerOwner:
+class FormerOwners:
     """Tracks until when former owners and their grants may act."""
 
     def __init__(self, clock: Clock, acquired: AcquiredShard) -> None:
         """Start from the state at the takeover."""
         self._clock = clock
-        self._unconfirmed = acquired.in_doubt
-        self._former = acquired.former
-        self._has_earlier = any(
-            process != acquired.former for process in acquired.in_doubt
+        self._unconfirmed = acquired.unconfirmed
+        self._last_owner = acquired.former
+        self._has_earlier_owners = any(
+            process != acquired.former for process in acquired.unconfirmed
         )
         wait_ms = GRANT_EXPIRY_MS if self.is_over else ROSTER_WAIT_MS
         self._wait_until = acquired.acquired_at + wait_ms
@@ -62,11 +63,14 @@
             self._acts_until = self._wait_until
         self._grant_expiry_by_agent: dict[str, float] = {}
         # Agents that left after this time have no later orders.
-        self._released_at = acquired.over_since if self.is_over else None
+        self._ended_at = acquired.former_ended_at if self.is_over else None
 
     @property
     def is_over(self) -> bool:
-        """Whether no former owner sends orders any more."""
+        """Whether no former owner sends orders any more.
+
+        Their grants may still be valid; see ``may_grants_act``.
+        """
         return not self._unconfirmed
 
     @property
@@ -75,7 +79,7 @@
         return max(0, self._wait_until - self._clock.now())
 
     @property
-    def may_act(self) -> bool:
+    def may_grants_act(self) -> bool:
         """Whether a former owner or one of its unknown grants may still act.
 
         An owner that released the shard has reported its grants. One that is
@@ -96,7 +100,7 @@
         wait_until = received_at + message.wait_ms
         self._wait_until = min(self._wait_until, wait_until)
         self._retain_unconfirmed(
-            lambda process: process != self._former, received_at
+            lambda process: process != self._last_owner, received_at
         )
         if self.is_over:
             self._acts_until = received_at
@@ -127,21 +131,21 @@
     ) -> None:
         """Keep the owners that may act; the others had ended by ``at``."""
         self._unconfirmed = tuple(filter(may_act, self._unconfirmed))
-        if self.is_over and self._released_at is None:
-            self._released_at = at
+        if self.is_over and self._ended_at is None:
+            self._ended_at = at
 
     @property
     def agents_with_known_grant(self) -> set[str]:
         """The agents whose last grants the former owner has reported."""
         return set(self._grant_expiry_by_agent)
 
-    def had_released(self, at: float) -> bool:
-        """Whether the former owner was known by then to send no orders."""
-        return self._released_at is not None and self._released_at <= at
+    def had_ended(self, at: float) -> bool:
+        """Whether all former owners were known by then to have ended."""
+        return self._ended_at is not None and self._ended_at <= at
 
     def grant_expires_at(self, agent_id: str) -> float:
         """Return when an agent's grants from former owners expire."""
         expires_at = self._grant_expiry_by_agent.get(agent_id, self._wait_until)
-        if self._has_earlier:
+        if self._has_earlier_owners:
             expires_at = max(expires_at, self._wait_until)
         return expires_at
--- a/hyssopring/jobs/job_record.py
+++ b/hyssopring/jobs/job_record.py
@@ -200,7 +200,7 @@
         predecessor step has such a task, the step was never started before,
         as that task was not done.
         """
-        if self._was_never_started(run):
+        if self._is_certainly_unstarted(run):
             return run.waiting
         return run.waiting & run.observed
 
@@ -221,7 +221,7 @@
                 yield run
 
     def idle_ms(self, now_ms: float) -> float:
-        """Return for how long tasks have waited while none of the job runs."""
+        """Update and return for how long, in ms, no task of the job has run."""
         if any(run.running for run in self.step_runs.values()):
             self.idle_since = None
             return 0
@@ -328,8 +328,12 @@
         """The number of open occurrences."""
         return len(self.step_runs) // len(self.job.steps)
 
-    def _was_never_started(self, run: StepRun) -> bool:
-        """Whether no task of a step was started before this epoch."""
+    def _is_certainly_unstarted(self, run: StepRun) -> bool:
+        """Whether a predecessor step was seen running under this epoch.
+
+        It was not done then, so that no task of this step was started. If
+        False, it is unknown whether one was.
+        """
         return any(
             self.step_runs[f'{run.occurrence}.{earlier}'].observed
             for earlier in run.step.after
--- a/hyssopring/jobs/locations.py
+++ b/hyssopring/jobs/locations.py
@@ -6,7 +6,7 @@
 from hyssopring.clock import MILLIS_PER_SECOND, Clock
 from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet, PlacedAttempt, Worker
-from hyssopring.jobs.former_owner import FormerOwner
+from hyssopring.jobs.former_owner import FormerOwners
 from hyssopring.jobs.job_record import JobRecord
 from hyssopring.jobs.model import TaskName
 from hyssopring.jobs.roster import Roster
@@ -31,7 +31,7 @@
         clock: Clock,
         roster: Roster,
         epoch_rows: EpochRows,
-        former: FormerOwner,
+        former: FormerOwners,
         by_job: Mapping[str, JobRecord],
     ) -> None:
         """Track the keepers' tasks of the jobs in ``by_job``."""
@@ -98,7 +98,11 @@
                 is_all_located &= self._roster.is_located(
                     worker.agent_id, placed
                 )
-        if is_all_located and not has_unreported and not self._former.may_act:
+        if (
+            is_all_located
+            and not has_unreported
+            and not self._former.may_grants_act
+        ):
             self._epoch_rows.mark_complete()
 
     def _update(
@@ -109,7 +113,7 @@
     ) -> None:
         """Add the tasks started there; remove those that moved or ended."""
         retained = set(self._roster.tasks(agent_id))
-        if not self._former.may_act:
+        if not self._former.may_grants_act:
             # While it may act, a former owner may start listed tasks again.
             retained = {
                 task
--- a/hyssopring/jobs/owned_shard.py
+++ b/hyssopring/jobs/owned_shard.py
@@ -10,7 +10,7 @@
 from hyssopring.jobs.documents import JobRow, ProgressRow
 from hyssopring.jobs.epoch_rows import EpochRows
 from hyssopring.jobs.fleet import Fleet
-from hyssopring.jobs.former_owner import AcquiredShard, FormerOwner
+from hyssopring.jobs.former_owner import AcquiredShard, FormerOwners
 from hyssopring.jobs.job_record import JobRecord, StepRun
 from hyssopring.jobs.locations import Locations
 from hyssopring.jobs.model import JobState, TaskName
@@ -37,7 +37,7 @@
 
 __all__ = ('Ack', 'OwnedShard', 'ShardEvents')
 
-# A transaction holds at most 100 entries; a job takes three.
+# A transaction holds at most 100 operations; a job takes three.
 _MAX_FORGOTTEN: Final = 30
 
 
@@ -71,7 +71,8 @@
         former: What is known of the former owners.
         reported: Agents that have sent a report under this epoch.
         unreported: Listed agents without a complete report under this epoch;
-            they may still run tasks that former owners ordered.
+            they may still run tasks that former owners ordered. An agent
+            may be in both sets, or in neither.
         is_loaded: Whether all stored jobs are loaded.
         is_dropped: Whether this entry has stopped owning the shard.
     """
@@ -89,7 +90,7 @@
         self.shard = acquired.shard
         self.epoch = acquired.epoch
         self.version = acquired.version
-        self.former = FormerOwner(clock, acquired)
+        self.former = FormerOwners(clock, acquired)
         self._confirmed_at = acquired.confirmed_at
         self._cancelled_before_job: set[str] = set()
         self._clock = clock
@@ -294,6 +295,7 @@
     def poll(self) -> None:
         """Read jobs and cancellations whose notices were lost."""
         if self.is_loaded and not self.is_dropped:
+            # The poll delivers these cancellations after their jobs.
             self._cancelled_before_job.clear()
             self._reader.poll()
 
@@ -305,10 +307,10 @@
         """Load the stored jobs and their progress."""
         self.unreported = set(self.roster.agents)
         self.locations.load()
-        end_by_job = {row.row_key.key: row for row in ends}
+        progress_row_by_job = {row.row_key.key: row for row in ends}
         for row in jobs:
             if is_job_key(row.row_key.key):
-                self._inherit(row, end_by_job.get(row.row_key.key))
+                self._inherit(row, progress_row_by_job.get(row.row_key.key))
         self.is_loaded = True
         log_event(
             Event.SHARD_ACQUIRED,
@@ -364,7 +366,7 @@
         self._parser.log_malformed(row, 'job: job_id differs from the row key')
         return None
 
-    def _inherit(self, row: Row, ends: Row | None) -> None:
+    def _inherit(self, row: Row, progress_row: Row | None) -> None:
         """Load a job, unless its progress row is malformed.
 
         Without its progress, tasks that are done would run a second time. The
@@ -374,8 +376,8 @@
         if job_row is None:
             return
         progress = None
-        if ends is not None:
-            progress = self._parser.parse(ProgressRow.from_text, ends)
+        if progress_row is not None:
+            progress = self._parser.parse(ProgressRow.from_text, progress_row)
             if progress is None:
                 self._malformed_progress.add(row.row_key.key)
                 return
@@ -385,7 +387,7 @@
             is_inherited=True,
             progress=progress,
         )
-        record.version = ends.version if ends else 0
+        record.version = progress_row.version if progress_row else 0
         self._add_record(record)
 
     def _add_record(self, record: JobRecord) -> None:
--- a/hyssopring/jobs/owner.py
+++ b/hyssopring/jobs/owner.py
@@ -276,13 +276,13 @@
             )
             self._moves.move_throttled_tasks(candidates)
         if self._stall_detector.record_tick():
-            self._expire_lost_attempts(now_ms)
+            self._apply_timeouts(now_ms)
         self._add_to_roster()
         self._ticket_manager.check()
         self.keeper_waits.check()
         self.schedule_planning()
 
-    def _expire_lost_attempts(self, now_ms: float) -> None:
+    def _apply_timeouts(self, now_ms: float) -> None:
         for worker in self._fleet.by_agent.values():
             if worker.placed_by_task and self._is_lost(worker, now_ms):
                 for placed in list(worker.placed_by_task.values()):
@@ -301,7 +301,8 @@
         owner's grants as long as that owner may act.
         """
         may_former_act = any(
-            owned.former.may_act for owned in self.shards.by_shard.values()
+            owned.former.may_grants_act
+            for owned in self.shards.by_shard.values()
         )
         is_disconnected = not worker.is_connected
         return worker.is_lost(now_ms) and not (
@@ -325,14 +326,18 @@
             self._send(worker.agent_id, request)
 
     def _grant(self, report: WorkerReport, worker: Worker) -> None:
-        """Send a grant; an empty one if the agent's row sets an expiry."""
+        """Send a grant.
+
+        It is empty if the agent's worker is silent or its row may set an
+        expiry.
+        """
         if worker.has_silent_worker:
             grant = Grant(report.sequence, [], 0)
         elif self.shards.may_grant(worker.agent_id):
             grant = Grant(report.sequence, self.shards.epochs(), GRANT_TTL_MS)
             worker.granted_at = self._clock.now()
         else:
-            # An empty grant is still a sign of life for the agent.
+            # An empty grant shows the agent that its owner runs.
             grant = Grant(report.sequence, [], 0)
             self.shards.clear_expiry(worker.agent_id)
         self._send(worker.agent_id, grant)
--- a/hyssopring/jobs/progress_writer.py
+++ b/hyssopring/jobs/progress_writer.py
@@ -26,8 +26,8 @@
 # of a job by as much.
 _MERGE_S: Final = 0.02
 _RETRY_S: Final = 0.2
-# A transaction holds at most 100 entries: two for each job, and the owner
-# check.
+# A transaction holds at most 100 operations: two for each job, and the
+# owner check.
 _MAX_JOBS: Final = 45
 
 
--- a/hyssopring/jobs/reports.py
+++ b/hyssopring/jobs/reports.py
@@ -126,7 +126,7 @@
         for placed in list(worker.placed_by_task.values()):
             if shard_of(placed.name.job_id) == owned.shard:
                 self.record_attempt_lost(worker, placed, 'agent left')
-        if owned.former.had_released(departed.at):
+        if owned.former.had_ended(departed.at):
             owned.unreported.discard(worker.agent_id)
 
     def _apply_report_to_job(
@@ -159,7 +159,8 @@
             if placed.boot != report.boot:
                 self.record_attempt_lost(worker, placed, 'worker replaced')
             elif task not in listed and worker.has_received(placed, report):
-                # The worker may not have responded to the start.
+                # The worker may not have responded to the start; avoid it as
+                # after a refusal.
                 worker.refused_at = self._clock.now()
                 self.record_attempt_lost(worker, placed, 'not listed')
 
@@ -255,8 +256,8 @@
         )
         worker.placed_by_task[attempt_report.task] = placed
         if not is_wanted:
-            why = 'another attempt runs, or the task has ended'
-            mark_stopping(placed, worker, why)
+            reason = 'another attempt runs, or the task has ended'
+            mark_stopping(placed, worker, reason)
         if is_wanted:
             run.mark_running(name.index)
             if record.state is JobState.QUEUED:
@@ -316,7 +317,7 @@
         end: EndReport,
         worker: Worker,
     ) -> bool:
-        """Count an end against its budget; return True if it is exhausted."""
+        """Count a failure or crash; return True if its budget is exhausted."""
         if end.how == AttemptEnd.FAILED.value:
             return record.record_failure(name, end.attempt)
         if end.how not in _CRASHES or run.is_done_task(name.index):
--- a/hyssopring/jobs/roster.py
+++ b/hyssopring/jobs/roster.py
@@ -26,8 +26,8 @@
 
 __all__ = ('Roster',)
 
-# A transaction holds at most 100 entries: two for each agent, and the owner
-# check.
+# A transaction holds at most 100 operations: two for each agent, and the
+# owner check.
 _MAX_AGENTS: Final = 45
 # The pause after a failed write.
 _RETRY_BACKOFF_MS: Final = 200.0
@@ -67,7 +67,7 @@
             store: Holds the rows.
             shard: The number of the shard.
             owner_check: Restricts writes to the owner of this epoch.
-            epoch_rows: The epochs whose owners have kept the rows.
+            epoch_rows: The epochs whose owners have maintained the rows.
             on_written: Called after each successful write.
         """
         self.is_known = False
@@ -94,7 +94,7 @@
 
     @property
     def is_backing_off(self) -> bool:
-        """Whether writes are paused after a failed one."""
+        """Whether writes are paused after a failure or a change of owner."""
         return self._clock.now() < self._backoff_until
 
     def load(self, rows: Iterable[Row], store_clock: StoreClock) -> None:
@@ -110,9 +110,12 @@
         }
 
     def may_grant(self, agent_id: str) -> bool:
-        """Whether an agent's row allows a grant."""
+        """Whether an agent may get a grant: its row certainly sets no expiry.
+
+        The next owner relies on no grant being sent after a stored expiry.
+        """
         entry = self._entry_by_agent.get(agent_id)
-        return self.is_known and not (entry and entry.may_be_suspended)
+        return self.is_known and not (entry and entry.may_have_expiry)
 
     def grant_expires_at(self, agent_id: str) -> float | None:
         """Return when an agent's grants expire by its row, None if unknown."""
@@ -163,16 +166,16 @@
                 entry.wanted, over_ms=over_ms, reign=self._epoch_rows.row.reign
             )
             entry.grant_expires_at = expires_at
-            entry.may_be_suspended = True
+            entry.may_have_expiry = True
             entry.want_row(wanted)
         self.write()
 
     def clear_expiry(self, agent_id: str) -> None:
         """Remove the expiry of an agent that is reachable again."""
         entry = self._entry_by_agent.get(agent_id)
-        if entry is None or not entry.may_be_suspended:
+        if entry is None or not entry.may_have_expiry:
             return
-        if entry.wanted.is_suspended:
+        if entry.wanted.has_expiry:
             entry.want_row(replace(entry.wanted, over_ms=None, reign=0))
         self.write()
 
@@ -205,7 +208,7 @@
         """
         if self._is_writing or self.is_backing_off or not self.is_known:
             return
-        if self._epoch_rows.must_retract:
+        if self._epoch_rows.must_write_incomplete:
             self._epoch_rows.invalidate()
             return
         batch = [
@@ -233,7 +236,11 @@
         )
 
     def _read(self, row: Row, store_clock: StoreClock) -> RosterEntry:
-        """Parse a row; ignore an expiry that is older than ``since``."""
+        """Parse a row; ignore an expiry that may have been disregarded.
+
+        Those are the ones written before ``epoch_rows.row.since``, the first
+        epoch of the unbroken sequence that maintained the rows.
+        """
         entry = RosterEntry(row.version, is_listed=True, is_dirty=False)
         stored = self._parser.parse(AgentRow.from_text, row)
         if stored is None:
@@ -245,7 +252,7 @@
         if stored.over_ms is None or stored.reign < self._epoch_rows.row.since:
             entry.wanted = replace(stored, over_ms=None, reign=0)
             return entry
-        entry.may_be_suspended = True
+        entry.may_have_expiry = True
         if store_clock.is_known:
             entry.grant_expires_at = store_clock.passed_at(stored.over_ms)
         return entry
@@ -311,5 +318,9 @@
 
 
 def _ignore_store_failure(failure: TwistedFailure) -> None:
-    """Ignore a failed write; a row that stays prolongs the next wait."""
+    """Ignore a failed call.
+
+    Writes are retried. A row that was not removed may prolong the next
+    owner's wait.
+    """
     failure.trap(StoreRefused, StoreUncertain)
--- a/hyssopring/jobs/roster_entry.py
+++ b/hyssopring/jobs/roster_entry.py
@@ -18,7 +18,8 @@
             flight is applied.
         is_listed: Whether it certainly exists.
         is_dirty: Whether the wanted content must still be written.
-        may_be_suspended: Whether it may set an expiry.
+        may_have_expiry: Whether it may set an expiry, after which the next
+            owner relies on no later grant.
         grant_expires_at: When the agent's grants expire, by the clock; None
             if the row does not certainly set an expiry.
     """
@@ -28,7 +29,7 @@
     certain_tasks: frozenset[str] = frozenset()
     is_listed: bool = False
     is_dirty: bool = True
-    may_be_suspended: bool = False
+    may_have_expiry: bool = False
     grant_expires_at: float | None = None
 
     def want_row(self, row: AgentRow) -> None:
@@ -40,8 +41,8 @@
         """Record that a write of the wanted row begins, and return the row."""
         self.is_dirty = False
         self.certain_tasks &= frozenset(self.wanted.tasks)
-        if self.wanted.is_suspended:
-            self.may_be_suspended = True
+        if self.wanted.has_expiry:
+            self.may_have_expiry = True
         return self.wanted
 
     def record_version(self, version: int) -> None:
@@ -57,6 +58,6 @@
         self.version = version
         self.is_listed = True
         self.certain_tasks = frozenset(row.tasks)
-        if not row.is_suspended:
-            self.may_be_suspended = False
+        if not row.has_expiry:
+            self.may_have_expiry = False
             self.grant_expires_at = None
--- a/hyssopring/jobs/takeover.py
+++ b/hyssopring/jobs/takeover.py
@@ -25,7 +25,7 @@
         version: The version of the owner row, 0 for none.
         former: The former owner, None if there never was one.
         earlier_owners: Owners before the former one that may still act.
-        roster: The epochs whose owners have kept the agents' rows.
+        roster: The epochs whose owners have maintained the agents' rows.
     """
 
     shard: int
--- a/tests/test_jobs_absences.py
+++ b/tests/test_jobs_absences.py
@@ -100,7 +100,7 @@
     deployment.run(5)
     deployment.heal(AGENT)
     deployment.run(2)
-    assert not AgentRow.from_text(row_text(deployment)).is_suspended
+    assert not AgentRow.from_text(row_text(deployment)).has_expiry
     deployment.cut_off(AGENT)
     kill_owner(deployment)
     assert remaining_wait_s(deployment) > LOST_AFTER_S - 1
@@ -143,10 +143,10 @@
     worker = deployment.workers[0]
     worker.is_unresponsive = True
     deployment.run(4)
-    assert AgentRow.from_text(row_text(deployment)).is_suspended
+    assert AgentRow.from_text(row_text(deployment)).has_expiry
     worker.is_unresponsive = False
     deployment.run(2)
-    assert not AgentRow.from_text(row_text(deployment)).is_suspended
+    assert not AgentRow.from_text(row_text(deployment)).has_expiry
     assert worker.runs
     deployment.cut_off(AGENT)
     kill_owner(deployment)
@@ -170,7 +170,7 @@
     deployment.heal(AGENT)
     deployment.run(6)
     assert owned_shard(deployment).roster.may_grant(AGENT)
-    assert not AgentRow.from_text(row_text(deployment)).is_suspended
+    assert not AgentRow.from_text(row_text(deployment)).has_expiry
     deployment.cut_off(AGENT)
     kill_owner(deployment)
     assert remaining_wait_s(deployment) > LOST_AFTER_S - 1
@@ -223,7 +223,7 @@
     deployment.run(6)
     deployment.kill_entry(deployment.owner)
     deployment.run(9)
-    assert owned_shard(deployment).former.may_act
+    assert owned_shard(deployment).former.may_grants_act
     assert row_text(deployment) is None
 
 
@@ -259,7 +259,7 @@
 def test_an_empty_row_shortens_no_wait(text):
     """The rows of the previous release are empty."""
     assert AgentRow.from_text(text) == AgentRow()
-    assert not AgentRow.from_text(text).is_suspended
+    assert not AgentRow.from_text(text).has_expiry
 
 
 def test_the_owner_row_and_the_roster_row_are_written_together():
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -31,30 +31,32 @@
 
 
 def deploy_keepers():
-    """Return three workers with two keepers, and the worker of a keeper.
+    """Return three workers with two keepers, and one worker of a keeper.
 
-    The second item is that worker's number.
+    The items are the deployment, that worker's number, and the worker.
     """
     deployment = settled(workers=3, work_ms=lambda task: 60_000)
     job = a_job(steps=((2, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
     deployment.run(1)
     number = next(
-        number for number, each in enumerate(deployment.workers) if each.runs
+        number
+        for number, worker in enumerate(deployment.workers)
+        if worker.runs
     )
     return deployment, number, deployment.workers[number]
 
 
 def keepers_running(deployment):
-    return sum(len(each.runs) for each in deployment.workers)
+    return sum(len(worker.runs) for worker in deployment.workers)
 
 
 def test_an_attempt_on_an_agent_without_a_grant_of_a_new_owner_is_kept():
     """A job is submitted to an owner that has just taken the shard.
 
     An agent reports late: it has a grant of the former owner, but none of the
-    new one. The new owner sent it a start, treated the missing grant as an
-    expired one, and started the task elsewhere as well.
+    new one. Guards against an owner that sends it a start, treats the missing
+    grant as an expired one, and starts the task elsewhere as well.
     """
     deployment, owner, successor = deploy_pair(work_ms=lambda task: 3000)
     deployment.run(10)
@@ -75,8 +77,8 @@
     """Guards against an 8.4 s wait for the agent of a VM that left as planned.
 
     The agent reports that its worker has left and runs nothing, and ends. The
-    shard's next owner knew the agent from the roster only, and waited before
-    it started the VM's keeper.
+    shard's next owner knows the agent from the roster only, and must not wait
+    before it starts the VM's keeper.
     """
     deployment, number, worker = deploy_keepers()
     worker.is_leaving = True
@@ -113,11 +115,11 @@
 
 
 def test_a_deposed_owner_leaves_jobs_to_its_successor():
-    """Guards against a job that a former owner finds by its poll.
+    """Guards against a second start by a former owner that polls the job.
 
     The former owner's lease lasts for seconds. The successor gets the job's
-    notice and starts it at once. The former owner found the job's row and
-    started it too, on an agent that did not know the successor.
+    notice and starts it at once. The former owner must not start it too when
+    it finds the job's row, on an agent that does not know the successor.
     """
     deployment, former, successor = deploy_pair(work_ms=lambda task: 4000)
     former.membership.renew = lambda: None
@@ -134,9 +136,9 @@
 def test_a_new_agent_does_not_treat_its_predecessor_s_hold_as_expired():
     """An agent is restarted while the shard has no owner.
 
-    Its worker's next response takes 600 ms. The new agent has set no hold and
-    reported the tasks as expired, although its predecessor's hold had seconds
-    left. The next owner started the tasks a second time.
+    Its worker's next response takes 600 ms. The new agent has set no hold, but
+    its predecessor's hold has seconds left. Guards against an agent that
+    reports the tasks as expired, so that the next owner starts them again.
     """
     deployment = settled(workers=2, work_ms=lambda task: 12_000)
     job = a_job(steps=((4, ()),))
@@ -158,8 +160,9 @@
 def test_a_refusal_does_not_cover_an_earlier_copy_of_the_start():
     """A worker does not respond to a start, and refuses the second copy.
 
-    The agent reported that nothing was started, and the task was started
-    elsewhere. The worker carried out the first copy three seconds later.
+    Guards against an agent that reports that nothing was started, so that the
+    task is started elsewhere. The worker carries out the first copy
+    three seconds later.
     """
     deployment = settled(workers=2, work_ms=lambda task: 6000)
     job = a_job(steps=((1, ()),))
@@ -180,8 +183,9 @@
 def test_a_refused_start_does_not_end_a_running_attempt():
     """An agent refuses a start, as it runs another attempt of the task.
 
-    The owner had lost track of that attempt, treated the refusal as a proof
-    that nothing runs there, and started the task on another worker.
+    The owner has lost track of that attempt. Guards against one that treats
+    the refusal as a proof that nothing runs there, and starts the task on
+    another worker.
     """
     deployment, owner, _other = deploy_pair(work_ms=lambda task: 4000)
     job = a_job(steps=((1, ()),))
@@ -191,7 +195,7 @@
     for worker in core.fleet.by_agent.values():
         for placed in list(worker.placed_by_task.values()):
             core.owner._reconciler.record_attempt_lost(
-                worker, placed, 'a wrong belief'
+                worker, placed, 'wrongly assumed lost'
             )
     core.owner._planner._plan()
     deployment.run(0.03)
--- a/tests/test_jobs_locations.py
+++ b/tests/test_jobs_locations.py
@@ -224,7 +224,7 @@
     former.has_peers = False
     deployment.rows.rejected_clients.add(former.name)
     owned = run_until_loaded(deployment, 2)
-    assert owned.former.may_act
+    assert owned.former.may_grants_act
     deployment.run(1)
     deployment.workers[former_number].room = Size()
     deployment.run(2)
@@ -232,6 +232,6 @@
     deployment.run(3)
     assert worker_number_of(deployment, task) != former_number
     assert listed_tasks(deployment, former_number) == {task}
-    assert owned.former.may_act
+    assert owned.former.may_grants_act
     deployment.run(20)
     assert listed_tasks(deployment, former_number) == set()
--- a/tests/test_jobs_outage_days.py
+++ b/tests/test_jobs_outage_days.py
@@ -28,10 +28,10 @@
     workers' record asserts that it does not start while it may run there.
     """
     day = kind(seed)
-    left = day.play()
+    violations = day.play()
     assert not day.watch.elsewhere, day.faults
     assert not day.watch.on_lost, day.faults
-    assert not left, day.faults
+    assert not violations, day.faults
 
 
 def main(first, last):
@@ -39,9 +39,9 @@
     for seed in range(first, last + 1):
         for kind in KINDS:
             day = kind(seed)
-            left = day.play()
-            if left:
-                print(kind.__name__, seed, day.faults, *left, sep='\n  ')
+            violations = day.play()
+            if violations:
+                print(kind.__name__, seed, day.faults, *violations, sep='\n  ')
 
 
 if __name__ == '__main__':
--- a/tests/test_jobs_owner_waits.py
+++ b/tests/test_jobs_owner_waits.py
@@ -13,7 +13,7 @@
 
 from hyssopring.clock import ManualClock
 from hyssopring.jobs.documents import EntryRow, FormerOwnerProcess, OwnerRow
-from hyssopring.jobs.former_owner import AcquiredShard, FormerOwner
+from hyssopring.jobs.former_owner import AcquiredShard, FormerOwners
 from hyssopring.jobs.messages import AgentGrant, ShardReleased
 from hyssopring.jobs.model import AttemptEnd
 from hyssopring.jobs.peer_entries import PeerEntries
@@ -80,7 +80,7 @@
     clock = ManualClock(0)
     before = FormerOwnerProcess('b', 'process', 1)
     taken = AcquiredShard(0, 5, 1, 0, (before,), confirmed_at=0, former=before)
-    former = FormerOwner(clock, taken)
+    former = FormerOwners(clock, taken)
     message = ShardReleased(0, 4, [AgentGrant('reported', 20)], wait_ms=8300)
     former.record_release(message, 0)
     clock.advance(8335)
