--- a/hyssopring/jobs/agent_core.py
+++ b/hyssopring/jobs/agent_core.py
@@ -281,7 +281,7 @@
             lost_attempts = [
                 attempt
                 for attempt in former_attempts
-                if not listing.names(attempt.task, attempt.number)
+                if not listing.lists(attempt.task, attempt.number)
             ]
             self._ends.add_crashes(
                 self.monitor.past_incarnation, lost_attempts, now_ms
@@ -301,7 +301,7 @@
         self._schedule_report()
 
     def _hold_limit(self) -> float:
-        """Return the time up to which the hold may be extended.
+        """Return the time up to which the hold may be extended, 0 for not.
 
         A hold covers all tasks of a worker. A new agent finds tasks of shards
         whose owners have not granted it anything yet; extending the hold for
--- a/hyssopring/jobs/agent_leases.py
+++ b/hyssopring/jobs/agent_leases.py
@@ -83,7 +83,7 @@
         )
 
     def owner_of(self, shard: int) -> str:
-        """Return the id of a shard's owner, or an empty string."""
+        """Return the ID of a shard's owner, or an empty string."""
         lease = self._lease_by_shard.get(shard)
         return lease.entry_id if lease else ''
 
--- a/hyssopring/jobs/agent_shutdown.py
+++ b/hyssopring/jobs/agent_shutdown.py
@@ -54,7 +54,7 @@
             monitor.announced.is_leaving or monitor.is_hold_expired
         )
         is_idle = is_worker_leaving_or_lost and not self._table.by_task
-        self._has_left = is_idle or monitor.has_withdrawn
+        self._has_left = is_idle or monitor.has_deregistered
         if self._has_left:
             notice = AgentLeft(monitor.boot, list(self._ends()))
             for entry_id in entries:
--- a/hyssopring/jobs/announced_state.py
+++ b/hyssopring/jobs/announced_state.py
@@ -15,7 +15,7 @@
     Attributes:
         service: The service that the worker belongs to.
         labels: The labels of its VM; the kind comes first, the rack last.
-        withdrawn_at: When the worker deregistered, None before that.
+        deregistered_at: When the worker deregistered, None before that.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         self._sequence = 0
         self._is_leaving = False
         self._leaves_at = clock.now()
-        self.withdrawn_at: float | None = None
+        self.deregistered_at: float | None = None
 
     @classmethod
     def from_announcement(
@@ -75,9 +75,9 @@
             self._leave(announcement.remaining_ms)
         return has_changed
 
-    def withdraw(self) -> None:
+    def deregister(self) -> None:
         """Apply a deregistration: the worker leaves at once."""
-        self.withdrawn_at = self._clock.now()
+        self.deregistered_at = self._clock.now()
         self._leave(0)
 
     def _leave(self, remaining_ms: int) -> None:
--- a/hyssopring/jobs/attempts.py
+++ b/hyssopring/jobs/attempts.py
@@ -49,7 +49,8 @@
             attempt in a listing.
         facts: Its requirements; None on a new agent until an owner sends them.
         percent: Progress, as the task reports it.
-        load: See ``AttemptReport``.
+        load: Tail latency in ms of a keeper with a target, otherwise the
+            thousandths of a core in use.
         pace: The allowed percentage of its processor time.
         tries: How often its start was sent to the worker.
         confirmed_at: When the worker confirmed the start, None before that.
--- a/hyssopring/jobs/crash_suspects.py
+++ b/hyssopring/jobs/crash_suspects.py
@@ -87,15 +87,18 @@
         ]
 
     def needs_trial(self, record: JobRecord, task_name: TaskName) -> bool:
-        """Return whether a task is a suspect that may wait for a trial."""
+        """Return whether a task is a suspect that may wait for a trial.
+
+        The first call after a crash starts the time that it may wait.
+        """
         if record.crashes.is_empty:
             return False
-        suspect = record.budget_key(task_name)
-        crashes = record.crashes.crashes_of(suspect)
+        budget_key = record.budget_key(task_name)
+        crashes = record.crashes.crashes_of(budget_key)
         if not _is_suspicious(crashes):
             return False
         now_ms = self._clock.now()
-        since_ms = record.trial_wanted_since.setdefault(suspect, now_ms)
+        since_ms = record.trial_wanted_since.setdefault(budget_key, now_ms)
         is_keeper = record.job.steps[task_name.step].is_keeper
         return now_ms - since_ms < _WAIT_MS * (1 if is_keeper else len(crashes))
 
@@ -151,11 +154,11 @@
         Otherwise a task that was merely running during a crash would wait for
         a trial each time that it starts again.
         """
-        suspect = record.budget_key(task_name)
+        budget_key = record.budget_key(task_name)
         is_gang = record.job.steps[task_name.step].is_gang
-        if not is_gang and record.crashes.crashes_of(suspect):
-            record.crashes.clear(suspect)
-            record.trial_wanted_since.pop(suspect, None)
+        if not is_gang and record.crashes.crashes_of(budget_key):
+            record.crashes.clear(budget_key)
+            record.trial_wanted_since.pop(budget_key, None)
 
     def check(self) -> None:
         """End the trials that are decided; call before each planning round."""
@@ -177,12 +180,12 @@
         worker: Worker,
     ) -> bool:
         """Record a crash under a starting attempt; True if its job fails."""
-        suspect = record.budget_key(task_name)
+        budget_key = record.budget_key(task_name)
         crash = Crash(worker.agent_id, end.attempt, self._cause(end, worker))
-        if not record.crashes.add(suspect, crash):
+        if not record.crashes.add(budget_key, crash):
             return False
-        record.trial_wanted_since.pop(suspect, None)
-        crashes = record.crashes.crashes_of(suspect)
+        record.trial_wanted_since.pop(budget_key, None)
+        crashes = record.crashes.crashes_of(budget_key)
         log_event(
             Event.TASK_SUSPECTED,
             task=str(task_name),
--- a/hyssopring/jobs/interference.py
+++ b/hyssopring/jobs/interference.py
@@ -45,7 +45,7 @@
 _MIN_VARIANCE: Final = 1e-6
 # Best-effort images that are kept per latency-critical image.
 _MAX_IMAGES: Final = 40
-_MILLIS: Final = 1000
+_MILLIS_PER_CORE: Final = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,7 +255,7 @@
                     current.millicores_by_image[best_effort_image]
                     - previous.millicores_by_image[best_effort_image]
                 )
-                / _MILLIS
+                / _MILLIS_PER_CORE
             )
             > _MIN_USE_CHANGE
         }
--- a/hyssopring/jobs/keeper_waits.py
+++ b/hyssopring/jobs/keeper_waits.py
@@ -33,7 +33,8 @@
     """What prevents a keeper's task from running.
 
     NO_AUTHORITY: This owner may not start tasks: the store does not answer.
-    NOT_DURABLE: The task's location cannot be written: the store fails.
+    NOT_DURABLE: The task's location cannot be written yet: writes of the shard
+        are paused after a failed one.
     UNHEARD: An unreachable agent may still run the task.
     TRIAL: The task is a crash suspect and waits for a worker for its trial.
     NO_TICKET: The advice service has approved no worker yet.
@@ -138,7 +139,7 @@
         """Start with no missing task.
 
         Args:
-            may_act: Whether this owner may start tasks now.
+            may_act: Returns whether this owner may start tasks now.
         """
         self._clock = clock
         self._fleet = fleet
--- a/hyssopring/jobs/messages.py
+++ b/hyssopring/jobs/messages.py
@@ -243,6 +243,14 @@
     Other attempts of the task are not affected.
 
     Attributes:
+        reason: The value of a ``StartOutcome``, ``RUNNING_HERE``, or one of:
+            'deposed': the agent knows a higher epoch of the shard;
+            'boot': the order is for another incarnation of the worker;
+            'leaving': the worker leaves or the agent shuts down;
+            'no-grant': the agent has no valid grant for the shard;
+            'closed': this attempt or a later one has ended or was stopped here;
+            'unsized': the requirements of an attempt here are unknown;
+            'room': the worker has too little free capacity.
         reign: Highest epoch of the task's shard that the agent knows.
     """
 
--- a/hyssopring/jobs/model.py
+++ b/hyssopring/jobs/model.py
@@ -120,7 +120,8 @@
         image: Program that the tasks run; interference is recorded per
             image.
         target_ms: Upper limit of a keeper's tail latency; 0 for none.
-        fills: The tasks run on processor time that other tasks leave unused.
+        fills: The tasks are best-effort: they run on processor time that
+            other tasks leave unused.
         max_unavailable: How many tasks of a keeper step the scheduler may
             have stopped at the same time; 0 for no limit.
     """
--- a/hyssopring/jobs/pacing.py
+++ b/hyssopring/jobs/pacing.py
@@ -5,7 +5,9 @@
 that depends on the headroom they take: those that interfere are throttled at
 once as far as needed, and the others go on at full pace.
 
-A pace is the percentage that a task may use of the CPU that it asks for.
+A pace is the percentage that a task may use of the CPU that it asks for. The
+headroom of a latency-critical task is the ratio of its latency target to its
+tail latency: 1 is on target, more is better.
 """
 
 from collections import Counter
@@ -28,12 +30,11 @@
 
 __all__ = ('Pacer',)
 
-# Headroom is the ratio of the latency target to the tail latency. Below the
-# first value, tasks are throttled until the second one is reached; increases
-# of a pace leave the second one as well. A sample covers the past half second:
-# until a new pace acts, changes of load take up to 0.2 of headroom more. A
-# second over the target costs the users of a latency-critical task as much as
-# about twenty core-seconds of best-effort work are worth.
+# Below the first headroom, tasks are throttled until the second one is reached;
+# increases of a pace leave the second one as well. A sample covers the past
+# half second: until a new pace acts, changes of load take up to 0.2 of
+# headroom more. A second over the target costs the users of a latency-critical
+# task as much as about twenty core-seconds of best-effort work are worth.
 _THROTTLING_HEADROOM: Final = 1.2
 _TARGET_HEADROOM: Final = 1.45
 # The most that a pace increases per sample.
@@ -55,7 +56,7 @@
 # Samples cover half a second and arrive as often. Equal samples that are
 # further apart than this, in ms, count as new.
 _MIN_SAMPLE_INTERVAL_MS: Final = 450.0
-_MILLIS: Final = 1000
+_MILLIS_PER_CORE: Final = 1000
 
 
 @dataclass(slots=True)
@@ -86,7 +87,9 @@
             cores: How many more cores the task may use.
         """
         missing = FULL_PACE - self.pace
-        allowed = cores / max(self.full_pace_cores, 1 / _MILLIS) * FULL_PACE
+        allowed = (
+            cores / max(self.full_pace_cores, 1 / _MILLIS_PER_CORE) * FULL_PACE
+        )
         percent = min(_MAX_INCREASE, missing, allowed)
         return 0 if percent < min(_MIN_INCREASE, missing) else percent
 
@@ -101,8 +104,8 @@
     """A latency-critical task while the paces beside it are computed.
 
     Attributes:
-        estimates: What a core of each best-effort task takes of its headroom,
-            in the order of the best-effort tasks.
+        estimates: By how much a core of each best-effort task reduces its
+            headroom, in the order of the best-effort tasks.
     """
 
     headroom: float
@@ -184,7 +187,8 @@
             for task in best_effort
         ]
         unsampled = sum(
-            estimate.mean * (task.used_cores - task.attempt.load / _MILLIS)
+            estimate.mean
+            * (task.used_cores - task.attempt.load / _MILLIS_PER_CORE)
             for estimate, task in zip(estimates, best_effort, strict=True)
         )
         return _LatencyCriticalTask(sample.headroom - unsampled, estimates)
@@ -207,9 +211,9 @@
         assert attempt.facts is not None, (
             'only attempts of known size are paced'
         )
-        full_pace_cores = attempt.facts.cpu_millis / _MILLIS
+        full_pace_cores = attempt.facts.cpu_millis / _MILLIS_PER_CORE
         pace = _INITIAL_PACE if attempt.pace == UNKNOWN_PACE else attempt.pace
-        used_cores = attempt.load / _MILLIS
+        used_cores = attempt.load / _MILLIS_PER_CORE
         if attempt.task in self._changed_tasks or not attempt.load:
             used_cores = full_pace_cores * pace / FULL_PACE
         return _BestEffortTask(
@@ -243,6 +247,8 @@
     def _is_new_sample(self, listed: list[Attempt]) -> bool:
         """Return whether a listing has other loads than the last sample.
 
+        A load is a tail latency or a use of CPU; see ``Attempt.load``.
+
         A listing that arrives early because a task has started or ended repeats
         the last sample. Throttling on each listing acted twice on one sample:
         73 of 320 reductions were of paces already below 10.
@@ -276,13 +282,13 @@
         is_uncertain: Whether tasks are throttled by the upper bound of their
             estimate instead of its mean.
     """
-    most_headroom = sum(
+    recoverable_headroom = sum(
         interference.upper_bound * task.used_cores
         for interference, task in zip(
             affected.estimates, best_effort, strict=True
         )
     )
-    if affected.headroom + most_headroom < 1:
+    if affected.headroom + recoverable_headroom < 1:
         return
     per_core = [
         interference.upper_bound if is_uncertain else interference.mean
@@ -333,11 +339,11 @@
         if percent > 0:
             candidate.increase(percent)
             for affected in latency_critical:
-                taken = (
+                reduction = (
                     affected.estimates[position].upper_bound
                     * candidate.full_pace_cores
                 )
-                affected.headroom -= taken * percent / FULL_PACE
+                affected.headroom -= reduction * percent / FULL_PACE
 
 
 def _is_best_effort(attempt: Attempt) -> bool:
--- a/hyssopring/jobs/placement_option.py
+++ b/hyssopring/jobs/placement_option.py
@@ -46,7 +46,7 @@
 # Interference at and above this scores the same.
 _MAX_INTERFERENCE: Final = 1.0
 _FULL_PACE: Final = 100
-_MILLIS: Final = 1000
+_MILLIS_PER_CORE: Final = 1000
 
 
 @dataclass(slots=True)
@@ -249,7 +249,7 @@
 
 
 def _cores(step: Step) -> float:
-    return step.size.cpu_millis / _MILLIS
+    return step.size.cpu_millis / _MILLIS_PER_CORE
 
 
 def _headroom(
@@ -266,7 +266,7 @@
         )
     return current - sum(
         (placed.cpu_at_full_pace - placed.cpu_used_millis)
-        / _MILLIS
+        / _MILLIS_PER_CORE
         * interference.per_core(
             latency_critical.step.image, placed.step.image
         ).mean
--- a/hyssopring/jobs/placement_round.py
+++ b/hyssopring/jobs/placement_round.py
@@ -64,7 +64,7 @@
         is_starved: bool,
         allowed_boots: Container[str] | None = None,
     ) -> Worker | None:
-        """Return the best worker for a task, None if none has capacity.
+        """Return the best worker for a task, None if none qualifies.
 
         The task's size is reserved on the worker. The caller also adds the
         task to the worker's table before the next call.
--- a/hyssopring/jobs/planning.py
+++ b/hyssopring/jobs/planning.py
@@ -75,12 +75,12 @@
         ticket_manager: TicketManager,
         suspects: CrashSuspects,
     ) -> None:
-        """Plan nothing yet.
+        """Start without a scheduled planning round.
 
         Args:
             send: Sends a message to an agent; False if it cannot be sent.
-            may_act: Whether this owner may start tasks now.
-            wall_ms: The time of day in ms since 1970.
+            may_act: Returns whether this owner may start tasks now.
+            wall_ms: Returns the milliseconds since 1970.
         """
         self._reactor = reactor
         self._clock = clock
@@ -92,13 +92,13 @@
         self._ticket_manager = ticket_manager
         self._suspects = suspects
         self.interference = InterferenceModel()
-        self._is_plan_due = False
+        self._is_round_scheduled = False
         self._next_plan_at_ms = clock.now()
 
     def schedule_planning(self) -> None:
         """Schedule one planning round, as soon as the backoff allows."""
-        if not self._is_plan_due:
-            self._is_plan_due = True
+        if not self._is_round_scheduled:
+            self._is_round_scheduled = True
             wait_ms = max(0, self._next_plan_at_ms - self._clock.now())
             self._reactor.callLater(
                 wait_ms / MILLIS_PER_SECOND,
@@ -107,7 +107,7 @@
 
     def _plan_and_back_off(self) -> None:
         """Run a planning round and set the earliest time of the next one."""
-        self._is_plan_due = False
+        self._is_round_scheduled = False
         if not self._may_act():
             return
         started_at_ms = self._clock.now()
@@ -166,7 +166,7 @@
         is_starved = record.idle_ms(self._clock.now()) > _STARVED_MS
         for task_name in unsuspected:
             if not self._place_task(placement, pending, task_name, is_starved):
-                # No worker has capacity for the step's other tasks either.
+                # No worker qualifies for the step's other tasks either.
                 break
             is_starved = False
         # Trials come last: each one excludes its worker from the round.
@@ -180,7 +180,13 @@
         task_name: TaskName,
         is_starved: bool,
     ) -> bool:
-        """Start a task; return False if no worker has capacity for it."""
+        """Start a task if possible.
+
+        Returns:
+            False if no worker qualifies, which holds for the step's other
+            tasks as well. True also if the task was not started because its
+            location cannot be recorded now.
+        """
         record, task_id = pending.record, str(task_name)
         worker = placement.choose(
             record.job.queue.service,
@@ -207,8 +213,8 @@
     ) -> Worker | None:
         """Return a worker whose agent's row already lists a keeper's task.
 
-        No row can be written while the store fails, so a task of a keeper
-        that has ended can only restart where it ran.
+        No row can be written while the roster backs off, so an ended task of a
+        keeper can only restart where it ran.
         """
         owned = self._shards.by_shard[shard_of(task_name.job_id)]
         if not owned.roster.is_backing_off:
--- a/hyssopring/jobs/received_starts.py
+++ b/hyssopring/jobs/received_starts.py
@@ -33,7 +33,7 @@
         self._counts_by_entry: dict[str, _Counts] = {}
 
     def set_connection(self, entry_id: str, connection: str) -> None:
-        """Set an entry's current connection; starts on others become void.
+        """Set an entry's current connection; ignore starts on others.
 
         Counts are kept, so that a connection continues from its own count
         after a delayed message of an earlier connection.
@@ -47,7 +47,7 @@
             )
 
     def record(self, entry_id: str, connection: str) -> bool:
-        """Count a start; return False if it is void, of another connection."""
+        """Count a start; return False for one of another connection."""
         if not connection or connection != self.connection(entry_id):
             return False
         self._counts_by_entry[entry_id].count_by_connection[connection] += 1
--- a/hyssopring/jobs/relay.py
+++ b/hyssopring/jobs/relay.py
@@ -30,7 +30,7 @@
     REFUSED,
     UNCERTAIN,
     commit_request,
-    is_served,
+    is_store_response,
     is_uncertain,
     outcome_from_response,
     response_for_failure,
@@ -55,7 +55,7 @@
 _RELAY_TIMEOUT_S: Final = 1.5
 # How often an entry that relays its calls tries a direct one again.
 _PROBE_INTERVAL_MS: Final = 1000.0
-# Pause in relaying after no peer was served either.
+# Pause in relaying after no peer got a response from the store either.
 _RELAY_PAUSE_MS: Final = 500.0
 # The store may reject a third of the entries at the same time.
 _MAX_PEERS: Final = 3
@@ -77,7 +77,7 @@
 
     @property
     def connected_entries(self) -> list[str]:
-        """Ids of the entries that this one has a connection to."""
+        """IDs of the entries that this one has a connection to."""
 
 
 class RelayedStore:
@@ -199,7 +199,7 @@
             _RELAY_TIMEOUT_S + wait_s,
             max_uncertain,
         )
-        if is_served(response):
+        if is_store_response(response):
             if error is not None:
                 self._start_relaying(str(error))
             return outcome_from_response(response)
@@ -219,18 +219,18 @@
         timeout_s: float,
         max_uncertain: int,
     ) -> Any:
-        """Try peers until one is served; a deferred ``RelayedResponse``.
+        """Try peers until the store answers; a deferred ``RelayedResponse``.
 
         Stops after ``max_uncertain`` peers without a certain result. A read
-        is sent to a second peer: otherwise an entry whose first peer was not
-        served either would retry that one only, and would use an old
-        configuration for seconds.
+        is sent to a second peer: otherwise an entry whose first peer got
+        no response of the store either would retry that one only, and would
+        use an old configuration for seconds.
         """
         if self._clock.now() < self._relay_paused_until:
             return REFUSED
         for peer_id in self._candidates():
             response = yield self._request(peer_id, build_request, timeout_s)
-            if is_served(response):
+            if is_store_response(response):
                 return response
             max_uncertain -= is_uncertain(response)
             if not max_uncertain:
@@ -247,13 +247,13 @@
         build_request: RequestBuilder,
         timeout_s: float,
     ) -> Any:
-        """Send a request to one peer, and record whether it is served."""
+        """Send a request to one peer, and record whether the store answered."""
         response = yield self._peer_requests.ask(
             peer_id, build_request, timeout_s
         )
         if response is None:
             response = UNCERTAIN
-        if is_served(response):
+        if is_store_response(response):
             self._preferred_peer = peer_id
         if is_uncertain(response):
             self._uncertain_at_by_peer[peer_id] = self._clock.now()
@@ -262,14 +262,15 @@
     def _candidates(self) -> list[str]:
         """Return the peers to try, in order.
 
-        The peer that was served last comes first; peers that recently gave
-        no certain result come last.
+        The peer that last got a response from the store comes first; peers
+        that recently gave no certain result come last.
         """
-        recent_ms = self._clock.now() - _DEPRIORITIZED_MS
+        deprioritized_since = self._clock.now() - _DEPRIORITIZED_MS
         ranked = sorted(
             self._peers.connected_entries,
             key=lambda entry_id: (
-                self._uncertain_at_by_peer.get(entry_id, recent_ms) > recent_ms,
+                self._uncertain_at_by_peer.get(entry_id, deprioritized_since)
+                > deprioritized_since,
                 entry_id != self._preferred_peer,
             ),
         )
--- a/hyssopring/jobs/relayed_calls.py
+++ b/hyssopring/jobs/relayed_calls.py
@@ -32,7 +32,7 @@
     'RelayedKind',
     'commit_request',
     'is_refused',
-    'is_served',
+    'is_store_response',
     'is_uncertain',
     'outcome_from_response',
     'response_for_failure',
@@ -95,7 +95,7 @@
     return response.kind == RelayedKind.UNCERTAIN.value
 
 
-def is_served(response: RelayedResponse) -> bool:
+def is_store_response(response: RelayedResponse) -> bool:
     """Whether the peer got a response from the store."""
     return not is_refused(response) and not is_uncertain(response)
 
@@ -139,7 +139,7 @@
 
 
 def outcome_from_response(response: RelayedResponse) -> Outcome:
-    """Return the outcome in the response to a served call.
+    """Return the outcome in a response that the store gave.
 
     Raises:
         HistoryLost: The store no longer has the requested changes.
--- a/hyssopring/jobs/stall_detector.py
+++ b/hyssopring/jobs/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects stalls of this process, after which timeouts of peers are void."""
+"""Detects stalls of this process, after which no timeout of a peer counts."""
 
 from typing import Final
 
--- a/hyssopring/jobs/ticket_manager.py
+++ b/hyssopring/jobs/ticket_manager.py
@@ -74,9 +74,9 @@
         """Start without tickets.
 
         Args:
-            may_act: Whether this owner may start tasks now; no query is sent
-                otherwise.
-            wall_ms: The time of day in ms since 1970.
+            may_act: Returns whether this owner may start tasks now; no query
+                is sent otherwise.
+            wall_ms: Returns the milliseconds since 1970.
         """
         self._reactor = reactor
         self._clock = clock
@@ -89,7 +89,7 @@
         self._tickets_by_step: dict[str, StepTickets] = {}
         self._approved_share_by_queue: dict[str, float] = {}
         self._is_query_in_flight = False
-        self._is_check_due = False
+        self._is_check_scheduled = False
         self._backoff_until_ms: float = 0
         self._backoff_ms = _INITIAL_BACKOFF_MS
 
@@ -122,13 +122,13 @@
 
     def schedule_check(self) -> None:
         """Schedule one check for all calls in this reactor iteration."""
-        if not self._is_check_due:
-            self._is_check_due = True
+        if not self._is_check_scheduled:
+            self._is_check_scheduled = True
             self._reactor.callLater(0, self.check)
 
     def check(self) -> None:
         """Send the most urgent query, unless one is in flight."""
-        self._is_check_due = False
+        self._is_check_scheduled = False
         records = [
             record
             for record in self._shards.live_jobs()
@@ -292,8 +292,8 @@
         if answer.valid_ms:
             timing = replace(timing, valid_ms=answer.valid_ms)
         valid_ms = timing.valid_ms
-        is_short = query.expected_ms < valid_ms / 2
-        valid_from_ms = sent_at_ms if is_short else self._clock.now()
+        is_query_short = query.expected_ms < valid_ms / 2
+        valid_from_ms = sent_at_ms if is_query_short else self._clock.now()
         margin_ms = _MARGIN_MS + _MARGIN_SHARE * valid_ms
         return valid_from_ms + valid_ms - min(margin_ms, valid_ms / 2)
 
--- a/hyssopring/jobs/worker_monitor.py
+++ b/hyssopring/jobs/worker_monitor.py
@@ -37,9 +37,11 @@
 # time to write them.
 _UNRECORDED_PAUSE_MS: Final = 60.0
 _ERROR_PAUSE_MS: Final = 150.0
-# The worker is reachable, and the next poll carries a higher fence.
+# The pause after a fenced poll: the worker is reachable, and the next poll
+# carries a higher fence.
 _FENCED_PAUSE_MS: Final = 20.0
-# Two polls in a row were not answered.
+# The hold of a worker that is silent for longer is not extended; by then two
+# polls in a row were not answered.
 _SILENT_MS: Final = 1500
 # A worker that deregisters stops at once; a poll in flight is answered or
 # fails within this time.
@@ -58,9 +60,12 @@
         on_listing: Called with each listing and the time its poll was sent.
         on_hold_expired: Called when the hold of a silent worker has expired.
         on_capacity_changed: Called when the worker announces other resources.
-        hold_limit: Returns the time up to which the hold may be extended.
-        has_unrecorded: Returns whether a listed end is not durable yet.
-        durable_up_to: Returns the number up to which all ends are durable.
+        hold_limit: Returns the time up to which the hold may be extended; by
+            default 0, which extends nothing.
+        has_unrecorded: Returns whether a listed end is not durable yet; by
+            default False.
+        durable_up_to: Returns the number up to which all ends are durable; by
+            default 0.
         boot: ID of the incarnation that answered last, empty for none.
         fences: Numbers the requests to the worker.
         announced: The announced state of that incarnation.
@@ -89,6 +94,7 @@
         self._target = ''
         self.fences = fences
         self.announced = AnnouncedState(clock)
+        # An announced incarnation that has not answered a poll yet.
         self._candidate: Announcement | None = None
         self._candidate_at = clock.now()
         self.past_incarnation: PastIncarnation | None = None
@@ -118,12 +124,12 @@
         return self._is_hold_expired
 
     @property
-    def has_withdrawn(self) -> bool:
+    def has_deregistered(self) -> bool:
         """Whether the worker deregistered and has not answered since."""
-        withdrawn_at = self.announced.withdrawn_at
-        if withdrawn_at is None:
+        deregistered_at = self.announced.deregistered_at
+        if deregistered_at is None:
             return False
-        since_ms = self._clock.now() - withdrawn_at
+        since_ms = self._clock.now() - deregistered_at
         return _DEREGISTRATION_MS < since_ms <= self.silent_ms
 
     @property
@@ -156,7 +162,7 @@
     def deregister(self, boot: str) -> None:
         """Handle the deregistration of an incarnation of the worker."""
         if boot == self.boot:
-            self.announced.withdraw()
+            self.announced.deregister()
 
     def to_worker_clock(self, time_ms: float) -> int:
         """Return a time on the worker's clock not later than ``time_ms``.
@@ -327,11 +333,15 @@
         self._reactor.callLater(pause_ms / MILLIS_PER_SECOND, self.poll)
 
     @property
-    def _max_stray_hold_ms(self) -> float:
-        """How long a hold sent to the former incarnation may last."""
+    def _max_inherited_hold_ms(self) -> float:
+        """How long a hold sent to the former incarnation may last.
+
+        Requests addressed to the former incarnation may reach the candidate
+        if both have the same target, or if the candidate's is unknown.
+        """
         assert self._candidate is not None, 'a candidate is being adopted'
-        may_stray = self._candidate.target in {'', self._target}
-        return MAX_HOLD_MS if may_stray else 0
+        may_reach_candidate = self._candidate.target in {'', self._target}
+        return MAX_HOLD_MS if may_reach_candidate else 0
 
     def _adopt(self, request: PollRequest, listing: Listing) -> None:
         assert self._candidate is not None, 'only a candidate is adopted'
@@ -347,7 +357,7 @@
                 Event.WORKER_REPLACED, boot=request.boot, before=self.boot
             )
             self._inherited_hold_until = (
-                self._clock.now() + self._max_stray_hold_ms
+                self._clock.now() + self._max_inherited_hold_ms
             )
         else:
             # A former agent may have extended the hold until now. If that was
--- a/hyssopring/jobs/worker_port.py
+++ b/hyssopring/jobs/worker_port.py
@@ -1,4 +1,7 @@
-"""The interface between an agent and its worker, independent of transport."""
+"""The interface between an agent and its worker, independent of transport.
+
+An incarnation is one run of a worker process; ``boot`` is its ID.
+"""
 
 import enum
 from dataclasses import dataclass
@@ -22,7 +25,11 @@
 
 
 class WorkerUnreachable(Exception):
-    """No valid answer arrived; the request may still be carried out."""
+    """No valid answer arrived; the request may still be carried out.
+
+    The subclass ``WorkerFenced`` is the exception: the worker answered and
+    ignored the request.
+    """
 
 
 class WorkerFenced(WorkerUnreachable):
@@ -40,6 +47,7 @@
         FENCED: The worker has seen a higher fence.
         OLD: This attempt or a higher one has run or was stopped there before.
         LATE: The hold of the request had expired when it arrived.
+        NO_ROOM: The worker has too little free capacity.
         BAD_TICKET: The ticket has expired, or is for another incarnation or
             step.
     """
@@ -168,7 +176,7 @@
     last_unidentified_end: int = 0
     boot: str = ''
 
-    def names(self, task: str, attempt: int) -> bool:
+    def lists(self, task: str, attempt: int) -> bool:
         """Return whether an attempt is listed as running or ended."""
         running = {(row.task, row.attempt) for row in self.rows}
         ended = {(end.task, end.attempt) for end in self.ends}
--- a/tests/test_announced_state.py
+++ b/tests/test_announced_state.py
@@ -25,7 +25,7 @@
     assert not state.is_leaving
 
 
-def test_a_room_counts_for_a_while_only():
+def test_a_capacity_counts_for_a_while_only():
     """Guards against starts on resources that may have shrunk since."""
     clock = ManualClock()
     state = AnnouncedState.from_announcement(
@@ -37,8 +37,8 @@
     assert state.capacity == Size(1000, 1000, 0)
 
 
-def test_a_worker_that_withdraws_is_leaving():
+def test_a_worker_that_deregisters_is_leaving():
     state = AnnouncedState.from_announcement(ManualClock(), announcement(1), 0)
-    state.withdraw()
+    state.deregister()
     assert state.is_leaving
-    assert state.withdrawn_at == 0
+    assert state.deregistered_at == 0
--- a/tests/test_jobs_evidence.py
+++ b/tests/test_jobs_evidence.py
@@ -8,7 +8,7 @@
 from standins.jobs.deployment import Deployment, a_job, settled, starts_of
 
 STEP_S = 0.01
-PATIENCE = 2000
+MAX_STEPS = 2000
 
 
 def deploy_pair(**options):
@@ -23,7 +23,7 @@
 
 def run_until_owned(deployment, entry):
     """Run until an entry has taken the shard."""
-    for _step in range(PATIENCE):
+    for _step in range(MAX_STEPS):
         if entry.core.owner.shards.by_shard:
             return
         deployment.run(STEP_S)
@@ -31,10 +31,7 @@
 
 
 def deploy_keepers():
-    """Return three workers with two keepers, and the worker of a keeper.
-
-    The second item is that worker's number.
-    """
+    """Return a deployment with two keepers, a busy worker's number, and it."""
     deployment = settled(workers=3, work_ms=lambda task: 60_000)
     job = a_job(steps=((2, ()),), is_keeper=True, max_per_worker=1)
     deployment.submit(job)
@@ -50,11 +47,11 @@
 
 
 def test_an_attempt_on_an_agent_without_a_grant_of_a_new_owner_is_kept():
-    """A job is submitted to an owner that has just taken the shard.
+    """Guards against an owner that takes a missing grant for an expired one.
 
-    An agent reports late: it has a grant of the former owner, but none of the
-    new one. The new owner sent it a start, treated the missing grant as an
-    expired one, and started the task elsewhere as well.
+    A job is submitted to an owner that has just taken the shard. An agent
+    reports late: it has a grant of the former owner, but none of the new one.
+    The owner must not start the task elsewhere as well.
     """
     deployment, owner, successor = deploy_pair(work_ms=lambda task: 3000)
     deployment.run(10)
@@ -75,8 +72,8 @@
     """Guards against an 8.4 s wait for the agent of a VM that left as planned.
 
     The agent reports that its worker has left and runs nothing, and ends. The
-    shard's next owner knew the agent from the roster only, and waited before
-    it started the VM's keeper.
+    shard's next owner knows the agent from the roster only, and must not wait
+    before it starts the VM's keeper.
     """
     deployment, number, worker = deploy_keepers()
     worker.is_leaving = True
@@ -93,11 +90,11 @@
 
 
 def test_a_worker_that_has_ended_before_its_agent_holds_up_no_keeper():
-    """A worker withdraws and ends with its tasks, then its agent is stopped.
+    """A worker deregisters and ends with its tasks, then its agent is stopped.
 
     The shard has no owner meanwhile, so that no owner has stopped the tasks,
-    and the worker lists no ends any more. A worker that withdrew and does not
-    respond since runs nothing.
+    and the worker lists no ends any more. A worker that deregistered and
+    does not respond since runs nothing.
     """
     deployment, number, worker = deploy_keepers()
     agent = deployment.agents[f'agent-{number}']
@@ -113,11 +110,11 @@
 
 
 def test_a_deposed_owner_leaves_jobs_to_its_successor():
-    """Guards against a job that a former owner finds by its poll.
+    """Guards against a second start by a former owner whose poll finds a job.
 
     The former owner's lease lasts for seconds. The successor gets the job's
-    notice and starts it at once. The former owner found the job's row and
-    started it too, on an agent that did not know the successor.
+    notice and starts it at once. The former owner must not start it too, on an
+    agent that does not know the successor.
     """
     deployment, former, successor = deploy_pair(work_ms=lambda task: 4000)
     former.membership.renew = lambda: None
@@ -132,11 +129,11 @@
 
 
 def test_a_new_agent_does_not_treat_its_predecessor_s_hold_as_expired():
-    """An agent is restarted while the shard has no owner.
+    """Guards against an agent that reports running tasks as expired.
 
-    Its worker's next response takes 600 ms. The new agent has set no hold and
-    reported the tasks as expired, although its predecessor's hold had seconds
-    left. The next owner started the tasks a second time.
+    An agent is restarted while the shard has no owner, and its worker's next
+    response takes 600 ms. The new agent has set no hold, but its predecessor's
+    hold has seconds left. The next owner must not start the tasks again.
     """
     deployment = settled(workers=2, work_ms=lambda task: 12_000)
     job = a_job(steps=((4, ()),))
@@ -156,10 +153,11 @@
 
 
 def test_a_refusal_does_not_cover_an_earlier_copy_of_the_start():
-    """A worker does not respond to a start, and refuses the second copy.
+    """Guards against a refusal that counts for an earlier copy of a start.
 
-    The agent reported that nothing was started, and the task was started
-    elsewhere. The worker carried out the first copy three seconds later.
+    A worker does not respond to a start, refuses the second copy, and carries
+    out the first one later. The agent must not report that nothing was
+    started, or the task would be started elsewhere as well.
     """
     deployment = settled(workers=2, work_ms=lambda task: 6000)
     job = a_job(steps=((1, ()),))
@@ -178,10 +176,10 @@
 
 
 def test_a_refused_start_does_not_end_a_running_attempt():
-    """An agent refuses a start, as it runs another attempt of the task.
+    """Guards against a refusal that counts as a proof that nothing runs.
 
-    The owner had lost track of that attempt, treated the refusal as a proof
-    that nothing runs there, and started the task on another worker.
+    An agent refuses a start, as it runs another attempt of the task, which the
+    owner has lost track of. The owner must not start the task elsewhere.
     """
     deployment, owner, _other = deploy_pair(work_ms=lambda task: 4000)
     job = a_job(steps=((1, ()),))
@@ -191,7 +189,7 @@
     for worker in core.fleet.by_agent.values():
         for placed in list(worker.placed_by_task.values()):
             core.owner._reconciler.record_attempt_lost(
-                worker, placed, 'a wrong belief'
+                worker, placed, 'wrongly counted as lost'
             )
     core.owner._planner._plan()
     deployment.run(0.03)
--- a/tests/test_jobs_rooms.py
+++ b/tests/test_jobs_rooms.py
@@ -10,6 +10,7 @@
 LARGE = Size(4000, 64_000, 0)
 SMALL = Size(1000, 64_000, 0)
 LONG_MS = 60_000
+# Slightly longer than the time after which the stand-in workers assert.
 GRACE_S = 4.6
 
 
--- a/tests/test_keeper_watch.py
+++ b/tests/test_keeper_watch.py
@@ -89,7 +89,7 @@
     assert scene.until(19.5).elsewhere
 
 
-def test_seven_seconds_of_calm_are_needed():
+def test_seven_seconds_without_a_fault_are_needed():
     """Guards against counting a task as lost during a fault."""
     scene = Scene()
     scene.stillness.since = 18
--- a/tests/test_past_incarnation.py
+++ b/tests/test_past_incarnation.py
@@ -5,11 +5,11 @@
 from hyssopring.jobs.attempts import Attempt, Phase
 from hyssopring.jobs.past_incarnation import PastIncarnation
 
-HEARD_AT = 10_000
+ANSWERED_AT = 10_000
 
 
 def incarnation(failing_since=None, is_planned=False):
-    return PastIncarnation('boot', HEARD_AT, failing_since, is_planned)
+    return PastIncarnation('boot', ANSWERED_AT, failing_since, is_planned)
 
 
 def attempt(ordered_at, is_confirmed=True, tries=1):
@@ -22,7 +22,11 @@
 
 @pytest.mark.parametrize(
     ('ordered_at', 'is_suspect'),
-    [(HEARD_AT - 1000, False), (HEARD_AT - 900, True), (HEARD_AT + 300, True)],
+    [
+        (ANSWERED_AT - 1000, False),
+        (ANSWERED_AT - 900, True),
+        (ANSWERED_AT + 300, True),
+    ],
 )
 def test_only_a_start_in_the_last_second_may_have_crashed_a_worker(
     ordered_at, is_suspect
@@ -32,28 +36,28 @@
 
 def test_nothing_has_crashed_a_worker_that_said_that_it_leaves():
     """Guards against a planned shutdown that counts as a crash."""
-    assert not incarnation(is_planned=True).suspects([attempt(HEARD_AT)])
+    assert not incarnation(is_planned=True).suspects([attempt(ANSWERED_AT)])
 
 
 def test_a_start_sent_to_a_dead_worker_has_crashed_nothing():
     """Guards against a start that never arrived counting as the cause."""
-    late = attempt(HEARD_AT + 300, is_confirmed=False)
-    assert incarnation(failing_since=HEARD_AT + 400).suspects([late])
-    assert not incarnation(failing_since=HEARD_AT + 200).suspects([late])
+    late = attempt(ANSWERED_AT + 300, is_confirmed=False)
+    assert incarnation(failing_since=ANSWERED_AT + 400).suspects([late])
+    assert not incarnation(failing_since=ANSWERED_AT + 200).suspects([late])
 
 
 def test_a_start_sent_into_a_long_silence_has_crashed_nothing():
     """Guards against an unreachable worker's starts counting as causes."""
-    late = attempt(HEARD_AT + 700, is_confirmed=False)
+    late = attempt(ANSWERED_AT + 700, is_confirmed=False)
     assert not incarnation().suspects([late])
 
 
 def test_a_repeated_start_without_an_answer_has_crashed_nothing():
     """Guards against a lost start counting as the cause of a later crash."""
-    repeated = attempt(HEARD_AT, is_confirmed=False, tries=2)
+    repeated = attempt(ANSWERED_AT, is_confirmed=False, tries=2)
     assert not incarnation().suspects([repeated])
 
 
 def test_an_attempt_that_a_new_agent_has_found_has_crashed_nothing():
     """Guards against blaming a task that may have been running for long."""
-    assert not incarnation().suspects([attempt(HEARD_AT, tries=0)])
+    assert not incarnation().suspects([attempt(ANSWERED_AT, tries=0)])
--- a/tests/test_stillness.py
+++ b/tests/test_stillness.py
@@ -15,7 +15,7 @@
         stillness.check()
 
 
-def still(**options):
+def undisturbed(**options):
     """Return a deployment without disruptions for a while."""
     deployment = Deployment(workers=2, entries=2)
     stillness = Stillness(deployment, **options)
@@ -25,8 +25,11 @@
 
 
 def test_a_vm_that_stays_away_disturbs_nothing():
-    """Only its loss and its return count; otherwise calm would never begin."""
-    deployment, stillness = still()
+    """Only its loss and its return count.
+
+    Otherwise no time would be undisturbed.
+    """
+    deployment, stillness = undisturbed()
     deployment.kill_agent('agent-0')
     deployment.workers[0].go_down(WHILE_S)
     watched(TICK_S, deployment, stillness)
@@ -37,7 +40,7 @@
     assert stillness.lasted_s() < 1
 
 
-def go_dark(deployment):
+def make_unresponsive(deployment):
     deployment.workers[0].is_unresponsive = True
 
 
@@ -53,7 +56,7 @@
     deployment.rows.is_down = True
 
 
-def shun(deployment):
+def reject_entry(deployment):
     deployment.rows.rejected_clients.add('entry-0')
 
 
@@ -62,28 +65,29 @@
 
 
 @pytest.mark.parametrize(
-    'fault', [go_dark, slow_worker, cut_off, store_down, shun, freeze]
+    'fault',
+    [make_unresponsive, slow_worker, cut_off, store_down, reject_entry, freeze],
 )
 def test_a_lasting_fault_disturbs_for_as_long_as_it_lasts(fault):
-    """Guards against counting tasks as lost during a fault."""
-    deployment, stillness = still()
+    """Guards against counting time with a fault as undisturbed."""
+    deployment, stillness = undisturbed()
     fault(deployment)
     watched(WHILE_S, deployment, stillness)
     assert stillness.lasted_s() <= 0
 
 
 def test_a_worker_of_a_vm_that_is_gone_for_good_disturbs_nothing():
-    """It never answers again; otherwise calm would never begin."""
-    deployment, stillness = still(gone={'agent-0'})
+    """It never answers again; otherwise no time would be undisturbed."""
+    deployment, stillness = undisturbed(gone={'agent-0'})
     deployment.kill_agent('agent-0')
-    go_dark(deployment)
+    make_unresponsive(deployment)
     watched(WHILE_S, deployment, stillness)
     assert stillness.lasted_s() > WHILE_S - 2 * TICK_S
 
 
 def test_a_lost_answer_disturbs_until_its_order_is_carried_out():
     """Guards against counting a deliberately delayed start as a fault."""
-    deployment, stillness = still()
+    deployment, stillness = undisturbed()
     worker = deployment.workers[0]
     worker.lose_next = 1
     worker.late_s = WHILE_S
@@ -98,7 +102,7 @@
 
 def test_an_entry_that_is_away_is_silent():
     """Guards against a safety bound that is too short for a silent owner."""
-    deployment, stillness = still()
+    deployment, stillness = undisturbed()
     assert stillness.silent_at == 0
     deployment.kill_entry('entry-0')
     watched(1, deployment, stillness)
