--- a/hyssopring/agent/admission.py
+++ b/hyssopring/agent/admission.py
@@ -48,10 +48,13 @@
             return 'an earlier attempt has not ended'
         if command.attempt <= self._newest_by_task.get(command.task_id, 0):
             return 'this attempt was received before'
-        return self.lapse_reason(command)
+        return self.lease_refusal_reason(command)
 
-    def lapse_reason(self, command: StartTask) -> str:
-        """Return why no current lease covers a start; empty if one does."""
+    def lease_refusal_reason(self, command: StartTask) -> str:
+        """Return why no current lease covers a start; empty if one does.
+
+        A lease that expires within ``CHECKPOINT_LEAD_MS`` does not cover it.
+        """
         if not self._leases.accepts(command.shard, command.epoch):
             return f'epoch {command.epoch} is not current'
         kind = TaskKind(command.kind)
--- a/hyssopring/agent/attempt_tracker.py
+++ b/hyssopring/agent/attempt_tracker.py
@@ -57,8 +57,8 @@
             leases: The shard leases that planners granted.
             worker: Runs the tasks.
             report: Sends a message to all connected entries.
-            on_adopted: Called with each start that an earlier run of the
-                agent made and the worker still lists.
+            on_adopted: Called with the start of each listed task that an
+                earlier run of the agent started.
             on_end: Called with each attempt that has ended.
         """
         self._clock = clock
@@ -138,8 +138,8 @@
         self.send_status(attempt)
         self._on_end(attempt)
 
-    def forget_on_worker(self, command: StartTask) -> None:
-        """Remove an attempt that has ended from the worker's listing."""
+    def cancel_on_worker(self, command: StartTask) -> None:
+        """Cancel an attempt on the worker, which then no longer lists it."""
         self._worker.stop(
             command,
             StopMode.CANCEL,
@@ -176,6 +176,7 @@
         self._listed_at = requested_at
         is_first = not self._boot
         if listing.boot != self._boot:
+            # Logged for the first listing as well, with an empty former boot.
             log_event(Event.WORKER_REPLACED, was=self._boot, boot=listing.boot)
             self._boot = listing.boot
         listed_by_id = {task.task_id: task for task in listing.tasks}
@@ -237,6 +238,8 @@
         command = attempt.command
         lease_expires_at = self._leases.expiry_of(command.shard, attempt.kind)
         attempt.deadline = max(attempt.deadline, lease_expires_at)
+        # Lapsed here means that the lease expires soon: the task makes its
+        # checkpoint in the time that is left.
         if attempt.deadline - self._clock.now() <= CHECKPOINT_LEAD_MS:
             log_event(Event.TASK_LAPSED, task=command.task_id)
             self.stop(attempt, StopMode.CHECKPOINT, 'lease lapsed')
@@ -282,7 +285,7 @@
             self._on_adopted(command)
             return
         log_event(Event.TASK_UNKNOWN, task=listed.task_id)
-        self.forget_on_worker(command)
+        self.cancel_on_worker(command)
 
     def _on_start_result(
         self, attempt: Attempt, is_started: bool | None
@@ -317,7 +320,7 @@
         if is_starting and not attempt.is_unconfirmed:
             return
         if listed is not None and listed.attempt == attempt.command.attempt:
-            self._observe(attempt, listed)
+            self._update_from_listing(attempt, listed)
             return
         # The attempt may be missing from a listing that was requested before
         # the start returned, or while an unconfirmed start may still arrive.
@@ -329,7 +332,9 @@
         if requested_at > absent_after:
             self.end(attempt, TaskPhase.STOPPED, 'not listed by the worker')
 
-    def _observe(self, attempt: Attempt, listed: WorkerTask) -> None:
+    def _update_from_listing(
+        self, attempt: Attempt, listed: WorkerTask
+    ) -> None:
         attempt.observe(listed)
         if listed.share != attempt.share:
             self._worker.throttle(listed.task_id, attempt.share)
--- a/hyssopring/agent/core.py
+++ b/hyssopring/agent/core.py
@@ -100,7 +100,8 @@
     """The state of one agent: its ledger, calls, tasks and configuration.
 
     Attributes:
-        on_work: Called before each call is handled, so that a timer can run.
+        on_work: Called before each call is handled; the daemon wakes its
+            ticker with it.
     """
 
     def __init__(
@@ -266,8 +267,8 @@
         for source, members in self.directory.pending_announcements().items():
             self._links.send(source, EntryList(members))
 
-    def closable_entries(self) -> list[str]:
-        """Return the entries whose connection may be closed now.
+    def leave_surplus_entries(self) -> list[str]:
+        """Leave surplus entries; return those whose connection may be closed.
 
         An entry outside the subset first gets a heartbeat that announces a
         stop, as at a shutdown, so that it sends no new work. Its connection
--- a/hyssopring/agent/links.py
+++ b/hyssopring/agent/links.py
@@ -182,7 +182,7 @@
             link = _Link(self, address)
             self._open_links.add(link)
             link.dial()
-        for entry_id in self.core.closable_entries():
+        for entry_id in self.core.leave_surplus_entries():
             link = self._link_by_entry[entry_id]
             if link.connection is not None:
                 link.connection.close()
--- a/hyssopring/agent/tasks.py
+++ b/hyssopring/agent/tasks.py
@@ -38,6 +38,7 @@
 
 __all__ = ('TaskSupervisor',)
 
+# The reason for refusing a start for lack of free capacity, as reported.
 _NO_CAPACITY = 'no room'
 
 
@@ -138,7 +139,7 @@
         if known is not None and _is_redundant_start(known, command):
             self._tracker.send_status(known)
             return
-        reason = self._refusal_reason(command, known)
+        reason = self._reserve_or_refuse(command, known)
         self._admission.record_attempt(command)
         if reason == _NO_CAPACITY and self._preempt_for(command):
             return
@@ -181,7 +182,7 @@
                 continue
             if attempt.is_final:
                 self._tracker.attempt_by_task.pop(status.task_id)
-                self._tracker.forget_on_worker(attempt.command)
+                self._tracker.cancel_on_worker(attempt.command)
 
     def on_listing(
         self,
@@ -192,7 +193,7 @@
         self._tracker.on_listing(listing, requested_at)
 
     def set_closed(self, reason: str, *, keepers: bool = True) -> None:
-        """Refuse starts; checkpoint running tasks so that planners move them.
+        """Refuse starts and checkpoint running tasks, or accept starts again.
 
         Args:
             reason: Sent in reports; an empty one accepts starts again.
@@ -214,7 +215,10 @@
         """Report checkpoints made since the last call; call each 10 s."""
         self._tracker.report_progress()
 
-    def _refusal_reason(self, command: StartTask, known: Attempt | None) -> str:
+    def _reserve_or_refuse(
+        self, command: StartTask, known: Attempt | None
+    ) -> str:
+        """Reserve capacity for a start, or return why it is refused."""
         if self._closed_reason or not self._tracker.worker_boot:
             return self._closed_reason or 'the worker is not responding'
         reason = self._admission.refusal_reason(
@@ -232,7 +236,7 @@
         """
         if attempt.is_final:
             return
-        reason = self._admission.lapse_reason(attempt.command)
+        reason = self._admission.lease_refusal_reason(attempt.command)
         if reason or not self._tracker.is_current_boot(attempt):
             reason = reason or 'the worker was replaced'
             self._tracker.end(attempt, TaskPhase.REFUSED, reason)
--- a/hyssopring/configuration/changes.py
+++ b/hyssopring/configuration/changes.py
@@ -61,7 +61,7 @@
         self._follower.poll()
 
     def adopt(self, update: ConfigurationUpdate) -> bool:
-        """Apply an update from a peer; return whether it was newer."""
+        """Apply an update from a peer; return whether it was applied."""
         return self._follower.adopt(update)
 
     def change(self, change: ConfigurationChange, done: ChangeCallback) -> None:
@@ -103,13 +103,13 @@
             # A newer version arrived from a peer since the head was read.
             self._requeue(ready)
             return
-        selected_by_key = self._select_batch(ready)
-        if not selected_by_key:
+        selected = self._select_batch(ready)
+        if not selected:
             self._finish()
             return
         batch = ChangeBatch.from_pending(
             head,
-            selected_by_key,
+            selected,
             self._state.tombstones,
         )
         self._commit(batch)
@@ -186,7 +186,7 @@
         self._finish()
 
     def _requeue(self, pending_changes: list[PendingChange]) -> None:
-        """Put changes after a conflict at the front, up to a retry limit."""
+        """Retry changes before the pending ones, up to a limit of conflicts."""
         requeued: list[PendingChange] = []
         for pending in pending_changes:
             pending.conflicts += 1
--- a/hyssopring/configuration/follower.py
+++ b/hyssopring/configuration/follower.py
@@ -103,7 +103,7 @@
     def _advance(self, callbacks: list[HeadCallback], head: Row) -> None:
         lag = head.document['version'] - self._state.version
         if lag <= 0:
-            self._state.confirm()
+            self._state.mark_current()
             self._finish(callbacks, Ok(head))
         elif self._state.version == 0 or lag > _MAX_LOG_LAG:
             self._read_items(callbacks, head)
--- a/hyssopring/configuration/state.py
+++ b/hyssopring/configuration/state.py
@@ -42,10 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """A template merged with the parameters of one team.
+    """A template of any kind merged with the parameters of one team.
 
     Attributes:
-        service_name: ``team/template``.
+        service_name: ``team/template``, also for batch tasks and keepers.
+        kind: ``service``, ``batch`` or ``keeper``.
         size: Resources of one task or one backend server.
         keepers: Desired number of running keepers.
     """
@@ -161,7 +162,7 @@
         self._invalidate(update.items)
         return True
 
-    def confirm(self) -> None:
+    def mark_current(self) -> None:
         """Record that the table holds no newer version."""
         self._is_initialized = True
 
--- a/hyssopring/entry/claims.py
+++ b/hyssopring/entry/claims.py
@@ -4,7 +4,7 @@
 records the request id and the agent incarnation that will receive it. A later
 request with the same key, at any entry, finds the row and queries that agent.
 
-* A key is checked in the buckets of three days, so that a request repeated
+* A key is checked under the row keys of three days, so that a request repeated
   after midnight, or at an entry whose calendar differs by a day, finds it.
 * A claim that is no longer needed is marked as released, never deleted:
   versions restart after a deletion, so a compare-and-set with a version read
@@ -12,8 +12,9 @@
   days later.
 * The claims of many requests share a transaction, with one in flight. After a
   conflict, only the claims in conflict are handled separately.
-* A commit has a short timeout. Its requests were not sent, so they certainly
-  did not run; a claim that takes effect after the timeout is released.
+* A commit has a short timeout. The requests whose claims it would store were
+  not sent, so they certainly did not run; a claim that takes effect after the
+  timeout is released.
 """
 
 import hashlib
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """A claim as stored in the table, with its row key and version."""
+    """A claim as stored in the table; ``key`` is its row's key."""
 
     key: str
     version: int
@@ -108,7 +109,7 @@
     done: ClaimCallback | None = None
 
     @property
-    def subject(self) -> str:
+    def key_digest(self) -> str:
         """The key's digest, which is unique within a transaction."""
         return self.row_key.rpartition('/')[2]
 
@@ -164,16 +165,23 @@
         claim: Claim,
         done: ClaimCallback,
     ) -> None:
-        """Claim a key unless another request has claimed it."""
+        """Claim a key unless another request has claimed it.
+
+        Args:
+            service_name: The service, which is part of the claimed key.
+            key: The caller's idempotency key.
+            claim: The claim to store.
+            done: Called once with the outcome.
+        """
         scoped_key = f'{service_name}\n{key}'
         digest = hashlib.sha256(scoped_key.encode()).hexdigest()[:_HASH_DIGITS]
         today = self._today()
-        buckets = [
+        row_keys = [
             f'claims/{day}/{digest[:_SLICE_DIGITS]}/{digest}'
             for day in (today, today - 1, today + 1)
         ]
-        absent = tuple(Check(bucket, 0) for bucket in buckets)
-        self._enqueue(_Write(buckets[0], absent, claim, done))
+        absent = tuple(Check(row_key, 0) for row_key in row_keys)
+        self._enqueue(_Write(row_keys[0], absent, claim, done))
 
     def move(self, row: ClaimRow, claim: Claim, done: ClaimCallback) -> None:
         """Replace a claim whose request certainly never runs."""
@@ -191,7 +199,12 @@
         """Time out a commit; probe whether an outage has ended."""
         now_ms = self._clock.now()
         if self._in_flight and now_ms - self._sent_at > _COMMIT_TIMEOUT_MS:
-            self._fail_all(Failure(ErrorKind.STORE_UNAVAILABLE, 'no answer'))
+            self._fail_all(
+                Failure(
+                    ErrorKind.STORE_UNAVAILABLE,
+                    'the table service did not respond in time',
+                )
+            )
         self._flush()
         if self.is_down and now_ms - self._probed_at > _PROBE_INTERVAL_MS:
             self._probed_at = now_ms
@@ -239,10 +252,10 @@
         later: list[_Write] = []
         while self._waiting and len(batch) < _MAX_BATCH_SIZE:
             write = self._waiting.popleft()
-            if write.subject in batch:
+            if write.key_digest in batch:
                 later.append(write)
             else:
-                batch[write.subject] = write
+                batch[write.key_digest] = write
         self._waiting.extendleft(reversed(later))
         return list(batch.values())
 
@@ -278,7 +291,7 @@
         if write.claim is None:
             return
         if version is None:
-            # Committed by an earlier try, and changed by others since.
+            # Committed by an earlier transmission, and changed by others since.
             self._store.read(
                 write.row_key,
                 lambda answer: self._on_reread(write, answer),
@@ -334,7 +347,7 @@
             write.checks = (Check(released[0].key, released[0].version),)
             self._waiting.append(write)
             return
-        failure = Failure(ErrorKind.CONFLICT, 'the claim has expired')
+        failure = Failure(ErrorKind.CONFLICT, 'the claim was deleted')
         write.finish(Err(failure))
 
     def _finish_taken(self, write: _Write, row: ClaimRow) -> None:
--- a/hyssopring/entry/job_table.py
+++ b/hyssopring/entry/job_table.py
@@ -49,7 +49,7 @@
         shards: int,
         fleet: Fleet | None = None,
     ) -> None:
-        """Set the table and what jobs are checked against.
+        """Check jobs against the configuration and the connected agents.
 
         Args:
             store: The table service.
--- a/hyssopring/entry/router.py
+++ b/hyssopring/entry/router.py
@@ -148,11 +148,11 @@
 
     def submit(self, call: Call) -> None:
         """Route a caller's request; ``callers`` receives its answer."""
-        admission = self._admitted_policy(call.service_name)
-        if isinstance(admission, Err):
-            self._calls.refuse(call, admission.err_value)
+        admitted = self._admitted_policy(call.service_name)
+        if isinstance(admitted, Err):
+            self._calls.refuse(call, admitted.err_value)
             return
-        pending = self._new_call(call, admission.ok_value)
+        pending = self._new_call(call, admitted.ok_value)
         self._calls.add(pending)
         choice = self.sender.choose(pending)
         if choice is None:
@@ -206,7 +206,7 @@
         self._unconfirmed.on_connect(record)
 
     def on_disconnect(self, record: AgentRecord) -> None:
-        """Reset routing state of a disconnected agent, mark its calls lost."""
+        """Drop an agent from routing; fail over its calls or mark them lost."""
         self.selector.remove_agent(record)
         self._unconfirmed.on_disconnect(record)
 
@@ -328,7 +328,8 @@
         winner: Attempt | None = None,
     ) -> None:
         for attempt in pending.attempts:
-            # A followed attempt belongs to another caller, who may still wait.
+            # An attempt that follows another call has the id of that call,
+            # whose caller may still wait.
             is_own = attempt.request_id == pending.call.request_id
             if is_own and attempt is not winner:
                 self._links.send(
--- a/hyssopring/protocol/codec.py
+++ b/hyssopring/protocol/codec.py
@@ -140,9 +140,9 @@
     return scalar
 
 
-def _to_wire(message_class: type) -> _Converter:
+def _wire_encoder(message_class: type) -> _Converter:
     wire_class = getattr(ttypes, message_class.__name__)
-    fields = _field_converters(message_class, _to_wire, _identity)
+    fields = _field_converters(message_class, _wire_encoder, _identity)
 
     def convert(message: Any) -> Any:  # noqa: WPS430 -- built once per class
         return wire_class(
@@ -155,8 +155,8 @@
     return convert
 
 
-def _from_wire(message_class: type) -> _Converter:
-    fields = _field_converters(message_class, _from_wire, _require)
+def _wire_decoder(message_class: type) -> _Converter:
+    fields = _field_converters(message_class, _wire_decoder, _require)
 
     def convert(wire: Any) -> Any:  # noqa: WPS430 -- built once per class
         return message_class(
@@ -181,8 +181,8 @@
     }
 )
 _TO_WIRE_BY_CLASS: Final = MappingProxyType(
-    {message_class: _to_wire(message_class) for message_class in _CLASSES}
+    {message_class: _wire_encoder(message_class) for message_class in _CLASSES}
 )
 _FROM_WIRE_BY_CLASS: Final = MappingProxyType(
-    {message_class: _from_wire(message_class) for message_class in _CLASSES}
+    {message_class: _wire_decoder(message_class) for message_class in _CLASSES}
 )
--- a/hyssopring/protocol/connection.py
+++ b/hyssopring/protocol/connection.py
@@ -31,6 +31,6 @@
 class InnerConnection(FramedConnection):
     """A framed connection for the messages of ``protocol.messages``."""
 
-    def __init__(self, *clock_and_callbacks: Any) -> None:
+    def __init__(self, *connection_arguments: Any) -> None:
         """Initialize with the other arguments of ``FramedConnection``."""
-        super().__init__(_CODEC, *clock_and_callbacks)
+        super().__init__(_CODEC, *connection_arguments)
--- a/hyssopring/store/client.py
+++ b/hyssopring/store/client.py
@@ -92,7 +92,7 @@
             self._url + path,
             body,
             timeout_ms,
-            # Reading many rows over a slow link may exceed the timeout in all.
+            # In total, many rows over a slow link may take longer than this.
             silence_ms=timeout_ms,
         )
         deferred.addCallbacks(_parse_response, _transport_failure)
--- a/hyssopring/store/groups.py
+++ b/hyssopring/store/groups.py
@@ -89,10 +89,11 @@
         return max(member.deadline for member in self.members)
 
     def add(self, pending: PendingCommit) -> bool:
-        """Add a transaction unless the group is full or it conflicts.
+        """Add a transaction unless the group is full or overlaps with it.
 
-        It conflicts if it writes a row that a member checks or writes, or
-        checks a row that a member writes or checks at another version.
+        They overlap if the transaction writes a row that a member checks or
+        writes, or checks a row that a member writes or checks at another
+        version.
 
         Returns:
             Whether the transaction was added.
--- a/hyssopring/store/queue.py
+++ b/hyssopring/store/queue.py
@@ -69,7 +69,7 @@
 
 
 class Transport(Protocol):
-    """Sends requests to the table; an error means that no response came."""
+    """Sends requests to the table; an error means no valid response."""
 
     def send_commit(
         self,
@@ -141,10 +141,10 @@
         """Commit a transaction.
 
         An ``Err`` of kind ``OUTCOME_UNKNOWN`` means that it may have been
-        committed, of kind ``STORE_UNAVAILABLE`` that it was never sent.
+        committed, of kind ``STORE_UNAVAILABLE`` that it was not.
         """
         if self._is_full():
-            done(Err(_not_sent('too many store calls are pending')))
+            done(Err(_unavailable('too many store calls are pending')))
             return
         kind = transaction.puts[0].key.partition('/')[0]
         deadline = self._clock.now() + self._limits.call_timeout_ms
@@ -156,7 +156,7 @@
     def read(self, prefix: str, done: ReadCallback) -> None:
         """Read all rows under a prefix; pending reads of it are merged."""
         if self._is_full():
-            done(Err(_not_sent('too many store calls are pending')))
+            done(Err(_unavailable('too many store calls are pending')))
             return
         pending_read = self._read_by_prefix.get(prefix)
         if pending_read is None:
@@ -335,7 +335,7 @@
             while queue and queue[0].deadline <= now_ms:
                 self._fail(
                     queue.popleft(),
-                    _not_sent('the table service is unreachable'),
+                    _unavailable('the table service is unreachable'),
                 )
         expired = [group for group in self._retries if group.deadline <= now_ms]
         for group in expired:
@@ -350,7 +350,7 @@
                 self._read_by_prefix.pop(pending_read.prefix)
                 self._pending -= len(pending_read.callbacks)
                 for done in pending_read.callbacks:
-                    done(Err(_not_sent('the table service is unreachable')))
+                    done(Err(_unavailable('the table service is unreachable')))
 
     def _fail(self, pending: PendingCommit, failure: Failure) -> None:
         self._pending -= 1
@@ -365,7 +365,7 @@
         self._transport.call_later(delay_ms, self._dispatch)
 
 
-def _not_sent(detail: str) -> Failure:
+def _unavailable(detail: str) -> Failure:
     return Failure(ErrorKind.STORE_UNAVAILABLE, detail)
 
 
--- a/hyssopring/store/rows.py
+++ b/hyssopring/store/rows.py
@@ -103,11 +103,12 @@
 class Store(Protocol):
     """Interface of the table service; results are passed to callbacks.
 
-    A failure of a commit means that its outcome is unknown.
+    Callers take the outcome of a failed commit as unknown. ``StoreQueue`` also
+    tells by the kind of failure whether it may have been committed.
     """
 
     def commit(self, transaction: Transaction, done: CommitCallback) -> None:
-        """Commit a transaction; retry without a response until a timeout."""
+        """Commit a transaction; retry until a response or a timeout."""
 
     def read(self, prefix: str, done: ReadCallback) -> None:
         """Read all rows whose key starts with ``prefix``, in key order."""
--- a/standins/virtual/agent.py
+++ b/standins/virtual/agent.py
@@ -94,7 +94,7 @@
                 Link(self.deployment, entry, self, address)
             else:
                 directory.record_skipped(address)
-        for entry_id in self.core.closable_entries():
+        for entry_id in self.core.leave_surplus_entries():
             self.link_by_entry[entry_id].close()
         for name, link in list(self.link_by_entry.items()):
             timeout_ms = self.core.sessions.silence_timeout_ms(name)
