--- a/hyssopring/leases/registry.py
+++ b/hyssopring/leases/registry.py
@@ -55,11 +55,11 @@
 
 
 @dataclass(slots=True)
-class _Sighting:
+class _FirstRead:
     """When a row was first read at its current version."""
 
     version: int
-    seen_at: float
+    read_at: float
 
 
 def entry_key(entry_id: str) -> str:
@@ -97,7 +97,16 @@
         settings: ShardSettings,
         on_deposed: Callable[[], None],
     ) -> None:
-        """Start without a lease; the first renewal starts it."""
+        """Start without a lease; the first renewal starts it.
+
+        Args:
+            clock: The process's clock.
+            store: The table service.
+            own: This entry, as listed in its row.
+            settings: Times of the leases.
+            on_deposed: Called when a renewal finds that this entry's row was
+                ended or deleted, or names another incarnation.
+        """
         self._clock = clock
         self._store = store
         self._own = own
@@ -105,7 +114,7 @@
         self._on_deposed = on_deposed
         self._valid_until: float = 0
         self._is_released = False
-        self._sighting_by_key: dict[str, _Sighting] = {}
+        self._first_read_by_key: dict[str, _FirstRead] = {}
         self.key = entry_key(own.entry_id)
         self.incarnation = uuid.uuid4().hex
         self.row_version = 0
@@ -196,6 +205,7 @@
         its row is overwritten.
         """
         if row is None:
+            # The row is not in conflict.
             return
         if _is_registered(row):
             if row.document['incarnation'] == self.incarnation:
@@ -203,7 +213,7 @@
                 return
         self._valid_until = 0
         self._on_deposed()
-        self._record_sighting(row)
+        self._record_first_read(row)
         if not _is_registered(row) or self.is_stale(row):
             self.row_version = row.version
 
@@ -217,7 +227,7 @@
             return
         rows = answer.unwrap()
         for row in rows:
-            self._record_sighting(row)
+            self._record_first_read(row)
         registered = [row for row in rows if _is_registered(row)]
         self.members = tuple(
             EntryMember(
@@ -244,24 +254,24 @@
         self._delete_ended_rows(rows)
         on_entries(rows)
 
-    def _record_sighting(self, row: Row) -> None:
-        sighting = self._sighting_by_key.get(row.key)
-        if sighting is None or sighting.version != row.version:
-            new_sighting = _Sighting(row.version, self._clock.now())
-            self._sighting_by_key[row.key] = new_sighting
+    def _record_first_read(self, row: Row) -> None:
+        first_read = self._first_read_by_key.get(row.key)
+        if first_read is None or first_read.version != row.version:
+            new_read = _FirstRead(row.version, self._clock.now())
+            self._first_read_by_key[row.key] = new_read
 
     def _unchanged_ms(self, row: Row) -> float:
-        sighting = self._sighting_by_key.get(row.key)
-        if sighting is None or sighting.version != row.version:
+        first_read = self._first_read_by_key.get(row.key)
+        if first_read is None or first_read.version != row.version:
             return 0
-        return self._clock.now() - sighting.seen_at
+        return self._clock.now() - first_read.read_at
 
     def _delete_ended_rows(self, rows: Sequence[Row]) -> None:
         for row in rows:
             if _is_registered(row):
                 continue
             if self._unchanged_ms(row) > self._settings.forget_ms:
-                self._sighting_by_key.pop(row.key)
+                self._first_read_by_key.pop(row.key)
                 self._store.commit(
                     Transaction(
                         (Check(row.key, row.version),),
--- a/hyssopring/leases/shard_leases.py
+++ b/hyssopring/leases/shard_leases.py
@@ -1,8 +1,8 @@
-"""Leases from the holder's side.
+"""Leases to run tasks that planners granted to this agent.
 
-The holder counts the time to live on its monotonic clock from *before* it
-sent the renewal. The grantor counts from its response, which is later, so the
-lease always expires for the holder first.
+The agent counts the time to live on its monotonic clock from *before* it
+sent the renewal. The planner counts from its response, which is later, so the
+lease always expires for the agent first.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class _Lease:
-    """A lease; expiry times are in ms of the holder's clock."""
+    """A lease; expiry times are in ms of the agent's clock."""
 
     epoch: int
     batch_expires_at: float
--- a/hyssopring/leases/shards.py
+++ b/hyssopring/leases/shards.py
@@ -59,7 +59,18 @@
 
 
 class ShardHolder:
-    """Registers this entry, and acquires and renews its share of shards."""
+    """Registers this entry, and acquires and renews its share of shards.
+
+    A shard is taken by a commit that names this entry in the shard's row. It
+    is given up in these ways:
+
+    - given away: this entry has more than its share; the row is cleared;
+    - handed back: the row names this process, which does not hold the shard
+      and has its share already; the row is cleared;
+    - dropped: its rows were changed by another writer; the shard's row stays;
+    - released, with all others, at a planned stop: this entry's own row ends;
+    - lost, with all others: the lease expired or was taken over.
+    """
 
     def __init__(
         self,
@@ -122,7 +133,7 @@
         return self._held_by_shard.get(shard) if self.is_valid else None
 
     def poll(self) -> None:
-        """Renew, then take or hand over shards; call every ``renew_ms``."""
+        """Renew, then take or give up a shard; call every ``renew_ms``."""
         if not self.is_valid and self._held_by_shard:
             self._lose_all('lease expired')
         if self._is_busy or self._is_released:
@@ -174,28 +185,28 @@
         if len(self._held_by_shard) > share:
             self._give_away(max(self._held_by_shard))
             return
-        has_room = len(self._held_by_shard) < share
+        may_take_more = len(self._held_by_shard) < share
         entry_by_key = {row.key: row for row in entries}
         for shard in range(self._settings.shards):
             row = row_by_key.get(shard_key(shard))
             holder = _holder(row, entry_by_key)
-            if self._step(shard, row, holder, has_room):
+            if self._take_or_hand_back(shard, row, holder, may_take_more):
                 return
 
-    def _step(
+    def _take_or_hand_back(
         self,
         shard: int,
         row: Row | None,
         holder: Row | None,
-        has_room: bool,
+        may_take_more: bool,
     ) -> bool:
-        """Take or release one shard if due; return whether it did.
+        """Take a shard or hand it back if due; return whether it did.
 
         Each poll does at most one step.
         """
         if shard in self._held_by_shard:
             return False
-        if has_room and self._is_free(row, holder):
+        if may_take_more and self._is_free(row, holder):
             self._take(shard, row, holder)
             return True
         if row is None or not self._is_own(row):
@@ -207,7 +218,7 @@
         """Whether a shard's row names this process.
 
         If this process does not hold the shard, the response to taking or
-        releasing it was lost, or the lease expired in an outage and no other
+        handing it back was lost, or the lease expired in an outage and no other
         entry took over. No other entry may take the shard while this entry's
         row is renewed, so it would have no planner.
         """
--- a/hyssopring/membership/dialling.py
+++ b/hyssopring/membership/dialling.py
@@ -30,7 +30,7 @@
     Attributes:
         next_at: When to dial next.
         entry_id: The connected entry, or empty.
-        attempts: Number of consecutive failures.
+        failures: Number of consecutive failures.
         failing_since: Time of the first of them; None if there are none.
     """
 
@@ -38,13 +38,13 @@
     next_at: float
     entry_id: str = ''
     is_dialling: bool = False
-    attempts: int = 0
+    failures: int = 0
     failing_since: float | None = None
 
     def answered(self) -> None:
         """Reset the failures, as an entry has responded."""
         self.is_dialling = False
-        self.attempts = 0
+        self.failures = 0
         self.failing_since = None
 
 
@@ -82,7 +82,7 @@
         state = self._connected_to(entry_id)
         return state.address if state else None
 
-    def dial(self, address: str) -> bool:
+    def begin_dial(self, address: str) -> bool:
         """Return whether to dial now; if so, mark it as being dialled."""
         state = self._state_of(address)
         is_idle = not (state.is_dialling or state.entry_id)
@@ -109,17 +109,25 @@
         state.entry_id = ''
         return state.address
 
-    def fail(self, address: str, is_refused: bool, is_large: bool) -> None:
-        """Record a failure and schedule the next dial with backoff."""
+    def record_failure(
+        self, address: str, is_refused: bool, is_large: bool
+    ) -> None:
+        """Record a failure and schedule the next dial with backoff.
+
+        Args:
+            address: The address that could not be connected or used.
+            is_refused: The entry rejected this agent.
+            is_large: Whether more entries are known than a full mesh has.
+        """
         now_ms = self._clock.now()
         state = self._state_of(address)
         state.is_dialling = False
-        state.attempts += 1
+        state.failures += 1
         if state.failing_since is None:
             state.failing_since = now_ms
         state.next_at = now_ms + self._backoff_ms(state, is_refused, is_large)
 
-    def rest(self, address: str) -> None:
+    def postpone(self, address: str) -> None:
         """Postpone a seed that led to an entry that is connected already."""
         state = self._state_of(address)
         state.answered()
@@ -131,7 +139,7 @@
         soon_ms = self._clock.now() + _SEED_INTERVAL_MISSING_MS
         for seed in seeds:
             state = self._state_of(seed)
-            if state.next_at > soon_ms and not state.attempts:
+            if state.next_at > soon_ms and not state.failures:
                 state.next_at = soon_ms
 
     def forget_failed(
@@ -188,5 +196,5 @@
         if is_refused:
             return self._rng.uniform(_REFUSED_MIN_MS, _REFUSED_MAX_MS)
         max_ms = _REDIAL_MAX_LARGE_MS if is_large else _REDIAL_MAX_MS
-        limit_ms = min(_REDIAL_MIN_MS * 2**state.attempts, max_ms)
+        limit_ms = min(_REDIAL_MIN_MS * 2**state.failures, max_ms)
         return self._rng.uniform(_REDIAL_MIN_MS, limit_ms)
--- a/hyssopring/membership/directory.py
+++ b/hyssopring/membership/directory.py
@@ -116,8 +116,10 @@
             for member in self._targets()
             if member.entry_id not in connected
         ]
-        due = dict.fromkeys([*wanted, *self._due_seeds(bool(wanted))])
-        return [address for address in due if self._addresses.dial(address)]
+        due = dict.fromkeys([*wanted, *self._unlisted_seeds(bool(wanted))])
+        return [
+            address for address in due if self._addresses.begin_dial(address)
+        ]
 
     def should_connect(self, address: str, entry_id: str) -> bool:
         """Whether to greet the entry that was found at an address.
@@ -148,12 +150,12 @@
             is_refused: The entry rejected this agent.
         """
         is_large = len(self.members) > FULL_MESH
-        self._addresses.fail(address, is_refused, is_large)
+        self._addresses.record_failure(address, is_refused, is_large)
         self._forget_failed()
 
     def record_skipped(self, address: str) -> None:
         """Record that an address led to an entry connected already."""
-        self._addresses.rest(address)
+        self._addresses.postpone(address)
 
     def surplus(self) -> list[str]:
         """Return connected entries to leave, once all wanted ones are up."""
@@ -181,9 +183,14 @@
         missing_by_source = {}
         for source, listed in self._members_by_source.items():
             reported = self._reported_by_source.setdefault(source, set())
-            own_ids = {member.entry_id for member in listed} - reported
+            # Entries reported before are reported again: a report expires.
+            listed_without_report_ids = {
+                member.entry_id for member in listed
+            } - reported
             missing = tuple(
-                member for member in present if member.entry_id not in own_ids
+                member
+                for member in present
+                if member.entry_id not in listed_without_report_ids
             )
             reported.update(member.entry_id for member in missing)
             if missing:
@@ -194,7 +201,7 @@
         """Attribute a connection made through a seed to the entry's address.
 
         Otherwise a load balancer's address would stay in use while the entry
-        that it first led to lives, and the agent could not find the other
+        that it first led to is running, and the agent could not find the other
         entries behind it.
         """
         own_addresses = [
@@ -248,8 +255,11 @@
             self._subset_by_down[down] = chosen
         return self._subset_by_down[down]
 
-    def _due_seeds(self, is_missing: bool) -> list[str]:
-        """Return the seeds that are not addresses of listed entries."""
+    def _unlisted_seeds(self, is_missing: bool) -> list[str]:
+        """Return the seeds that are not addresses of listed entries.
+
+        If an entry is missing, their next dial is brought forward.
+        """
         listed = {member.address for member in self.members}
         is_missing = is_missing or not self.connected
         seeds = [seed for seed in self._seeds if seed not in listed]
--- a/hyssopring/membership/fleet.py
+++ b/hyssopring/membership/fleet.py
@@ -24,7 +24,8 @@
     Attributes:
         report: The agent's latest report, received at ``reported_at``.
         since: When it was first reported to this entry, for slow start.
-        in_flight: Number of this entry's calls without a response.
+        in_flight: Number of attempts that callers of this entry wait for;
+            routing counts unanswered calls itself.
     """
 
     agent: 'AgentRecord'
--- a/hyssopring/placement/mitigation.py
+++ b/hyssopring/placement/mitigation.py
@@ -1,4 +1,4 @@
-"""Throttle and move this entry's batch tasks to reduce interference.
+"""Throttle and evict this entry's batch tasks to reduce interference.
 
 Every entry receives every agent's reports and computes the same shares. Each
 entry acts only on tasks of the shards that it holds, under their epochs. If a
@@ -27,7 +27,7 @@
 
 
 class Mitigation:
-    """Throttle and move batch tasks that slow services on the same VM."""
+    """Throttle and evict batch tasks that slow services on the same VM."""
 
     def __init__(self, interference: InterferenceTracker) -> None:
         """Create a mitigation that uses the model of ``interference``."""
@@ -41,7 +41,7 @@
         own_tasks: Iterable[PlannedTask],
         now_ms: float,
     ) -> None:
-        """Throttle or move tasks as an agent's latest report requires.
+        """Throttle or evict tasks as an agent's latest report requires.
 
         Args:
             record: The agent, with its latest report.
@@ -137,4 +137,4 @@
         agent=planned.task.agent_id,
         why=reason,
     )
-    planned.plan.checkpoint(planned)
+    planned.plan.stop_at_checkpoint(planned)
--- a/hyssopring/placement/shard_plan.py
+++ b/hyssopring/placement/shard_plan.py
@@ -182,10 +182,10 @@
         }
 
     def delete_finished_jobs(self) -> None:
-        """Delete the rows of jobs that ended before the retention time.
+        """Delete the rows of jobs older than the retention time.
 
-        The first call after a job has ended logs its end; the planner calls
-        this once per second.
+        It counts from the first call after the job has ended, which logs the
+        end; the planner calls this once per second.
         """
         now_ms = self._ports.clock.now()
         for job_id in self.index.jobs:
@@ -209,7 +209,7 @@
         """Assign a waiting task; its start is sent once that is written."""
         self._steps.assign(planned, agent_id, policy, size)
 
-    def checkpoint(self, planned: PlannedTask) -> None:
+    def stop_at_checkpoint(self, planned: PlannedTask) -> None:
         """Stop a task at a checkpoint; it is requeued once it has stopped.
 
         It stays assigned until its agent reports that it has stopped, so that
@@ -229,15 +229,15 @@
         self._commands.throttle(planned.task, share)
 
     def reclaim_expired(
-        self, granted_at_by_boot: Mapping[GrantKey, float]
+        self, granted_at_by_key: Mapping[GrantKey, float]
     ) -> None:
         """Requeue tasks of unreachable workers whose leases have expired.
 
         Args:
-            granted_at_by_boot: Time of the last grant to each agent and
+            granted_at_by_key: Time of the last grant to each agent and
                 worker boot, in clock milliseconds.
         """
-        self._reconciler.reclaim_expired(granted_at_by_boot)
+        self._reconciler.reclaim_expired(granted_at_by_key)
 
     def handle_status(self, record: AgentRecord, status: TaskStatus) -> None:
         """Handle an agent's report of one attempt."""
--- a/hyssopring/placement/tail_guard.py
+++ b/hyssopring/placement/tail_guard.py
@@ -1,10 +1,10 @@
-"""Throttle, then move, batch tasks that raise a service's tail latency.
+"""Throttle, then evict, batch tasks that raise a service's tail latency.
 
 Measurements lag by a few seconds, so each action is followed by a pause longer
 than the lag; otherwise it would be repeated before its effect is measured. To
 avoid oscillation, throttling and relaxing have different thresholds, and the
 delay before relaxing doubles when the tail rises again soon after it. Keepers
-are never throttled or moved.
+are never throttled or evicted.
 """
 
 import math
@@ -20,16 +20,21 @@
 
 __all__ = ('GuardStep', 'TailGuard')
 
-# Excess of log(tail) over its baseline.
+# Excess of log(tail) over its baseline above which shares are lowered, and
+# below which they may be raised.
 _RAISED_EXCESS = 0.5
 _STABLE_EXCESS = 0.25
+# Pause after a change of a share; reports lag by a few seconds.
 _SETTLE_MS = 6000.0
 _CONFIRMING_REPORTS = 2
 _EVICTION_INTERVAL_MS = 20_000.0
-_INITIAL_HOLD_MS = 10_000.0
-_MAX_HOLD_MS = 300_000.0
-_RELAPSE_MS = 30_000.0
-_SHARE_STEP = 0.5
+# How long the tail must be normal before a share is raised. The delay doubles
+# if the tail rises again soon after that.
+_INITIAL_RELAX_DELAY_MS = 10_000.0
+_MAX_RELAX_DELAY_MS = 300_000.0
+_SOON_AFTER_RELAXING_MS = 30_000.0
+# Factor of one step down; a step up divides by it.
+_SHARE_FACTOR = 0.5
 _MIN_SHARE = 0.25
 _FULL_SHARE = 1.0
 # A template with a smaller possible slowdown is not considered the cause.
@@ -43,7 +48,8 @@
     Attributes:
         template: Name of the template.
         share: Share of processor time for each of its tasks.
-        evictions: Number of its tasks to checkpoint and place elsewhere.
+        evictions: Number of its tasks to evict: each is stopped at a
+            checkpoint and requeued.
     """
 
     template: str
@@ -62,8 +68,9 @@
             None while the tail is raised.
         changed_at: When a share was last changed.
         relaxed_at: When a share was last raised.
-        evicted_at: When a task was last moved.
-        hold_ms: How long the tail must be normal before a share is raised.
+        evicted_at: When a task was last evicted.
+        relax_delay_ms: How long the tail must be normal before a share is
+            raised.
     """
 
     share_by_template: dict[str, float] = field(default_factory=dict)
@@ -72,7 +79,7 @@
     changed_at: float = -math.inf
     relaxed_at: float = -math.inf
     evicted_at: float = -math.inf
-    hold_ms: float = _INITIAL_HOLD_MS
+    relax_delay_ms: float = _INITIAL_RELAX_DELAY_MS
 
 
 class TailGuard:
@@ -149,8 +156,10 @@
         excess: float,
         now_ms: float,
     ) -> GuardStep | None:
-        if now_ms - state.relaxed_at < _RELAPSE_MS:
-            state.hold_ms = min(state.hold_ms * 2, _MAX_HOLD_MS)
+        if now_ms - state.relaxed_at < _SOON_AFTER_RELAXING_MS:
+            state.relax_delay_ms = min(
+                state.relax_delay_ms * 2, _MAX_RELAX_DELAY_MS
+            )
             state.relaxed_at = -math.inf
         slowdown_by_template = self._slowdown_by_template(record, service_name)
         if not slowdown_by_template:
@@ -168,17 +177,24 @@
         )
         state.changed_at = now_ms
         if throttleable:
-            target = max(throttleable, key=slowdown_by_template.__getitem__)
+            worst_template = max(
+                throttleable, key=slowdown_by_template.__getitem__
+            )
             share = (
-                state.share_by_template.get(target, _FULL_SHARE) * _SHARE_STEP
+                state.share_by_template.get(worst_template, _FULL_SHARE)
+                * _SHARE_FACTOR
             )
-            state.share_by_template[target] = share
-            return GuardStep(target, share)
+            state.share_by_template[worst_template] = share
+            return GuardStep(worst_template, share)
         if now_ms - state.evicted_at < _EVICTION_INTERVAL_MS:
             return None
         state.evicted_at = now_ms
-        target = max(slowdown_by_template, key=slowdown_by_template.__getitem__)
-        return GuardStep(target, state.share_by_template[target], evictions=1)
+        worst_template = max(
+            slowdown_by_template, key=slowdown_by_template.__getitem__
+        )
+        return GuardStep(
+            worst_template, state.share_by_template[worst_template], evictions=1
+        )
 
     def _slowdown_by_template(
         self,
@@ -208,10 +224,12 @@
         now_ms: float,
     ) -> GuardStep | None:
         stable_since = state.stable_since
-        if stable_since is None or now_ms - stable_since < state.hold_ms:
+        if stable_since is None or now_ms - stable_since < state.relax_delay_ms:
             return None
         if not state.share_by_template:
-            state.hold_ms = max(state.hold_ms / 2, _INITIAL_HOLD_MS)
+            state.relax_delay_ms = max(
+                state.relax_delay_ms / 2, _INITIAL_RELAX_DELAY_MS
+            )
             state.stable_since = now_ms
             return None
         template = min(
@@ -219,7 +237,7 @@
             key=state.share_by_template.__getitem__,
         )
         share = min(
-            state.share_by_template[template] / _SHARE_STEP, _FULL_SHARE
+            state.share_by_template[template] / _SHARE_FACTOR, _FULL_SHARE
         )
         state.share_by_template[template] = share
         if share == _FULL_SHARE:
--- a/hyssopring/placement/task_reconciler.py
+++ b/hyssopring/placement/task_reconciler.py
@@ -25,6 +25,7 @@
 # Agent and worker boot that leases were granted to.
 GrantKey = tuple[str, str]
 
+# Multiple of the declared run time after which an overrun is logged.
 _OVERRUN_FACTOR = 3
 
 
@@ -52,7 +53,7 @@
         self.progressed_chunk_by_key: dict[str, Chunk] = {}
 
     def reclaim_expired(
-        self, granted_at_by_boot: Mapping[GrantKey, float]
+        self, granted_at_by_key: Mapping[GrantKey, float]
     ) -> None:
         """Requeue tasks of unreachable workers whose leases have expired.
 
@@ -61,20 +62,20 @@
         still runs behind a network partition.
 
         Args:
-            granted_at_by_boot: Time of the last grant to each agent and
+            granted_at_by_key: Time of the last grant to each agent and
                 worker boot, in clock milliseconds.
         """
         for agent_id in self._states.agent_ids:
             record = self._ports.fleet.agent(agent_id)
             boot = record.worker_boot if record else ''
-            unreachable = [
+            of_other_boots = [
                 planned
                 for planned in self._states.assigned_to(agent_id)
                 if not boot or planned.task.worker_boot != boot
             ]
-            for planned in unreachable:
+            for planned in of_other_boots:
                 key = (agent_id, planned.task.worker_boot)
-                if self._has_expired(planned, granted_at_by_boot.get(key, 0)):
+                if self._has_expired(planned, granted_at_by_key.get(key, 0)):
                     self._states.requeue(planned, 'lease expired')
 
     def handle_status(
@@ -86,10 +87,10 @@
         """Handle an agent's report of one attempt of a known task."""
         phase = TaskPhase(status.phase)
         task = planned.task
-        is_same = (
+        is_same_attempt = (
             task.attempt == status.attempt and task.agent_id == record.agent_id
         )
-        is_current = is_same and task.state is TaskState.ASSIGNED
+        is_current = is_same_attempt and task.state is TaskState.ASSIGNED
         if phase not in FINAL_PHASES:
             if is_current:
                 self._record_progress(planned, status)
@@ -105,7 +106,7 @@
             self._states.handle_end(planned, phase, status)
         elif phase is TaskPhase.COMPLETED:
             self._record_late_completion(planned, status)
-        elif not is_same:
+        elif not is_same_attempt:
             acknowledge()
             return
         self._writer.mark_dirty(planned.chunk, acknowledge)
--- a/hyssopring/routing/backend_state.py
+++ b/hyssopring/routing/backend_state.py
@@ -30,10 +30,11 @@
         stall_factor: A backend has stalled when its oldest call is older than
             this multiple of the 95th percentile, and no answer has arrived
             for as long and for eight times the mean gap between answers.
-        slow_ratio: Ratio to the median latency above which a backend is
+        slow_ratio: Ratio to the backends' median latency above which one is
             ejected as slow.
         failures: Number of consecutive failures before an ejection.
-        max_ejected: Fraction of a service's backends that may be ejected.
+        max_ejected_fraction: Fraction of a service's backends that may be
+            ejected.
         ejection_ms: Duration of the first ejection, doubled for each repeat.
         max_ejection_ms: Upper limit of that duration.
         slow_start_ms: Time in which a new backend reaches its full share.
@@ -47,7 +48,7 @@
     stall_factor: float = 1.0
     slow_ratio: float = 3.0
     failures: int = 5
-    max_ejected: float = 0.34
+    max_ejected_fraction: float = 0.34
     ejection_ms: float = 1000.0
     max_ejection_ms: float = 16000.0
     slow_start_ms: float = 4000.0
@@ -55,16 +56,20 @@
 
 @dataclass(slots=True)
 class Ejection:
-    """Ejection of a backend, which gets only probes.
+    """Ejection of a backend.
+
+    A failing or stalled backend gets only probes while others are healthy. A
+    slow one still gets calls; the first one after its ejection, or after a
+    probe that was too slow, counts as the probe.
 
     Attributes:
         reason: 'failing', 'stalled' or 'slow'.
-        until: Clock time in milliseconds of the next probe.
+        next_probe_at: Clock time in milliseconds when a probe is due.
         probe_id: Request id of the probe in flight, '' if there is none.
     """
 
     reason: str
-    until: float
+    next_probe_at: float
     probe_id: str = ''
 
 
@@ -130,7 +135,9 @@
         rate = max(weight, 1 / self.samples)
         self.log_latency += rate * (log_ms - self.log_latency)
 
-    def suspected_log_latency(self, now_ms: float, weight: float) -> float:
+    def log_latency_with_open_calls(
+        self, now_ms: float, weight: float
+    ) -> float:
         """Return the mean log latency, including the age of open calls.
 
         A backend that has become slow sends no answers for a while, but the
--- a/hyssopring/routing/ejection.py
+++ b/hyssopring/routing/ejection.py
@@ -44,7 +44,8 @@
     ) -> BackendStates:
         """Return the backends that may get the next call.
 
-        A backend whose probe is due comes alone, so that it gets the call.
+        A backend whose probe is due is returned alone, so that it gets the
+        call.
         """
         due_probes = [
             pair for pair in backend_states if _is_probe_due(pair[1], now_ms)
@@ -62,11 +63,16 @@
         took_ms: float,
         window: LatencyWindow,
     ) -> None:
-        """Restore a backend after a good answer, or extend its ejection."""
+        """Restore a backend, or extend its ejection.
+
+        A failing or stalled backend is restored by any answer, a slow one by
+        a probe that is answered fast enough.
+        """
         ejection = state.ejection
         if ejection is None:
             return
         is_probe = request_id == ejection.probe_id
+        # At most the 95th percentile, or twice the median.
         is_good = took_ms <= _GOOD_PROBE_RATIO * max(
             window.p95_ms / 2, window.median_ms
         )
@@ -91,7 +97,7 @@
             1 for _, state in backend_states if state.ejection is not None
         )
         remaining = (
-            int(len(backend_states) * self._settings.max_ejected)
+            int(len(backend_states) * self._settings.max_ejected_fraction)
             - ejected_count
         )
         if remaining <= 0:
@@ -164,7 +170,7 @@
             self._settings.max_ejection_ms,
         )
         state.ejection_count += 1
-        state.ejection.until = now_ms + duration_ms * (
+        state.ejection.next_probe_at = now_ms + duration_ms * (
             1 + _PROBE_JITTER * self._rng.random()
         )
         state.ejection.probe_id = ''
@@ -184,7 +190,7 @@
 
 def _is_probe_due(state: BackendState, now_ms: float) -> bool:
     ejection = state.ejection
-    if ejection is None or now_ms < ejection.until:
+    if ejection is None or now_ms < ejection.next_probe_at:
         return False
     return not ejection.probe_id
 
--- a/hyssopring/routing/selector.py
+++ b/hyssopring/routing/selector.py
@@ -20,9 +20,12 @@
 
 __all__ = ('BackendChoice', 'BackendSelector')
 
+# Assumed until a backend of the service has enough samples.
 _DEFAULT_LATENCY_MS: Final = 20.0
 _MIN_SAMPLES: Final = 5
+# Crowding when all usable slots are taken.
 _CROWDING_FACTOR: Final = 2.0
+# Ratio to the median latency above which a backend's own latency is used.
 _MIN_SLOW_RATIO: Final = 1.8
 _CROWDING_POWER: Final = 4
 _JITTER: Final = 0.02
@@ -57,10 +60,11 @@
 class BackendSelector:
     """Choose the backend with the shortest expected time to answer.
 
-    The estimate is network + service time x (1 + waiting + crowding). Waiting
-    counts the calls beyond the slots. Crowding grows as the slots fill up and
-    keeps some of them free for calls that other entries have sent since the
-    last report.
+    The estimate is service time x (1 + crowding) + wait, plus a fixed cost for
+    a backend in another zone. The wait is the service time of the calls beyond
+    the usable slots, divided by the number of slots. Crowding grows as the
+    slots fill up and keeps some of them free for calls that other entries have
+    sent since the last report.
     """
 
     def __init__(
@@ -137,7 +141,9 @@
             service.evaluated_at = now_ms
             self._ejector.evaluate(backend_states, service.window, now_ms)
             service.typical_ms = _typical_ms(backend_states)
-            service.calls_per_own = _calls_per_own(backend_states)
+            service.reported_per_own_call = _reported_per_own_call(
+                backend_states
+            )
             service.utilization = _utilization(backend_states)
         usable = self._ejector.usable(backend_states, now_ms)
         estimates = [
@@ -228,13 +234,15 @@
         settings = self._settings
         service_ms = self._service_ms(state, service.typical_ms, now_ms)
         slots = max(view.report.slots, 1)
-        usable = slots * state.slow_start_fraction(
+        usable_slots = slots * state.slow_start_fraction(
             now_ms, settings.slow_start_ms
         )
-        prior_load = state.in_flight * service.calls_per_own
+        prior_load = state.in_flight * service.reported_per_own_call
         load = state.estimated_load(now_ms, prior_load, settings) + 1
-        wait_ms = service_ms * max(load - usable, 0) / slots
-        crowding = _CROWDING_FACTOR * min(load / usable, 1) ** _CROWDING_POWER
+        wait_ms = service_ms * max(load - usable_slots, 0) / slots
+        crowding = (
+            _CROWDING_FACTOR * min(load / usable_slots, 1) ** _CROWDING_POWER
+        )
         total_ms = service_ms * (1 + crowding) + wait_ms
         if view.agent.zone != self._zone:
             total_ms += settings.zone_cost_ms
@@ -250,7 +258,7 @@
             return typical_ms
         # Smaller differences are noise: following them would send most calls
         # to a backend after a few fast answers.
-        log_latency = state.suspected_log_latency(
+        log_latency = state.log_latency_with_open_calls(
             now_ms, self._settings.latency_weight
         )
         measured_ms = math.exp(log_latency)
@@ -268,14 +276,14 @@
     Attributes:
         window: Recent latencies.
         typical_ms: Median latency of its healthy backends.
-        calls_per_own: Reported calls per call of this entry.
+        reported_per_own_call: Reported calls per call of this entry.
         utilization: Fraction of its slots that is in use.
         evaluated_at: Clock time in milliseconds of the last evaluation.
     """
 
     window: LatencyWindow = field(default_factory=LatencyWindow)
     typical_ms: float = _DEFAULT_LATENCY_MS
-    calls_per_own: float = 1
+    reported_per_own_call: float = 1
     utilization: float = 0
     evaluated_at: float = -math.inf
 
@@ -312,7 +320,7 @@
     )
 
 
-def _calls_per_own(backend_states: BackendStates) -> float:
+def _reported_per_own_call(backend_states: BackendStates) -> float:
     """Return the number of reported calls per call of this entry."""
     own_calls = sum(state.in_flight for _, state in backend_states)
     reported_calls = sum(state.reported for _, state in backend_states)
