--- a/tests/test_borders.py
+++ b/tests/test_borders.py
@@ -102,7 +102,7 @@
 
 
 def test_body_beyond_the_limit_is_refused_while_it_is_read(port):
-    """Guard against an entry that fails because of one huge body.
+    """Guards against an entry that fails because of one huge body.
 
     Buffered in memory, or on a disk that these machines do not have, a body
     of unlimited size would take down the entry for all callers.
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize('wait', [5, 50, 500])
 def test_resubmission_through_another_entry_gets_the_first_answer(wait):
-    """Guard against running a resubmitted request a second time.
+    """Guards against running a resubmitted request a second time.
 
     The caller loses its connection and resubmits through another entry, while
     the first copy is being claimed, is running or has completed.
@@ -46,7 +46,7 @@
 
 
 def test_request_that_never_arrived_is_taken_over_and_its_late_copy_refused():
-    """Guard against a late copy from an entry that was paused.
+    """Guards against a late copy from an entry that was paused.
 
     The entry is paused just before it sends a claimed request. Resubmitted
     elsewhere, the request runs; then the entry resumes and sends its copy.
@@ -67,7 +67,7 @@
 
 
 def test_outcome_is_unknown_when_the_agent_lost_its_memory():
-    """Guard against trusting a new incarnation that has no record of a call.
+    """Guards against trusting a new incarnation that has no record of a call.
 
     The agent crashes with the request's outcome; a resubmitted request must
     not run, as the first may have.
@@ -90,7 +90,7 @@
 
 
 def test_store_outage_refuses_keyed_requests_at_once_and_no_others():
-    """Guard against keyed requests running twice, or hanging, in an outage.
+    """Guards against keyed requests running twice, or hanging, in an outage.
 
     Without the table, whether a key is claimed is unknown.
     """
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize('offset', [-1, 0, 1])
 def test_key_is_found_after_midnight_and_with_another_calendar(offset):
-    """Guard against a key that seems unused when the day's bucket changes.
+    """Guards against a key that seems unused when the day's bucket changes.
 
     A request is repeated after midnight, or at an entry whose calendar
     differs by a day.
@@ -180,7 +180,7 @@
 
 
 def test_old_move_does_not_take_a_key_that_was_released_and_claimed_anew():
-    """Guard against a delayed compare-and-set that replaces a newer claim.
+    """Guards against a delayed compare-and-set that replaces a newer claim.
 
     An entry reads a claim and moves it late. Meanwhile the claim is released,
     and another request claims the key and runs. If a release deleted the row,
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
 
 
 def test_every_shard_is_planned_again_after_an_outage():
-    """After an outage of the table shards could stay without a planner.
+    """Guards against shards without a planner after an outage of the table.
 
     Both entries' leases expire in the outage. Afterwards the shards' rows
     still name their old holders, which renew and so are live to each other.
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize('skipped_polls', range(6))
 def test_every_shard_is_planned_when_a_response_was_lost(skipped_polls):
-    """After a lost response a shard could stay without a planner.
+    """Guards against a shard without a planner after a lost response.
 
     The entry takes a shard, the response is lost, and the entry does not
     know that it is the holder; no other entry may take the shard.
@@ -55,7 +55,7 @@
 
 
 def test_lost_response_to_a_renewal_costs_no_shard():
-    """All jobs of an entry stalled for seconds after one lost response."""
+    """Guards against jobs that stall for seconds after one lost response."""
     deployment = VirtualDeployment(entries=1)
     deployment.run(10_000)
     epochs = [held.epoch for held in deployment.entry().core.shards.held()]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -76,7 +76,7 @@
 
 
 def test_slower_of_two_operators_is_told_the_current_version(operate):
-    """Guard against one operator silently undoing another's change.
+    """Guards against one operator silently undoing another's change.
 
     Two operators change an item after they read the same version. One change
     is accepted; the other gets exit code 1 and the current version.
--- a/tests/test_processes_requests.py
+++ b/tests/test_processes_requests.py
@@ -156,7 +156,7 @@
 
 
 def test_paused_agent_delays_no_page_and_doubles_no_booking(deployment):
-    """Guard against delayed pages and doubled bookings when a VM is paused.
+    """Guards against delayed pages and doubled bookings when a VM is paused.
 
     The agent is stopped for more than 1 s with requests in flight. Idempotent
     pages are served elsewhere meanwhile; its bookings run once.
@@ -284,7 +284,7 @@
 def test_page_on_a_connection_that_went_silent_comes_from_elsewhere(
     deployment,
 ):
-    """Guard against pages lost on a connection that went silent.
+    """Guards against pages lost on a connection that went silent.
 
     Data written to the connection is dropped without an error, while new
     connections work.
--- a/tests/test_random_runs.py
+++ b/tests/test_random_runs.py
@@ -37,7 +37,7 @@
 
 
 def test_seed_repeats_its_run_whatever_the_hash_seed():
-    """Guard against a failing seed that passes in another process.
+    """Guards against a failing seed that passes in another process.
 
     Sets are ordered by hashes that differ between processes. If such an order
     affects a decision, the same seed gives a different run.
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize('ms', [0, 500, 990])
 def test_idempotent_call_on_a_silent_connection_is_answered_in_time(ms):
-    """Guard against the loss of calls on a connection that went silent.
+    """Guards against the loss of calls on a connection that went silent.
 
     The heartbeat timeout notices the silence only after 2.5 s, past the
     deadline of the calls.
@@ -64,7 +64,7 @@
 
 
 def test_booking_whose_connection_is_cut_gets_its_own_answer():
-    """Guard against a repeated or lost call when its connection breaks.
+    """Guards against a repeated or lost call when its connection breaks.
 
     The connection is closed while the call runs; the call must neither be
     sent again nor given up.
@@ -100,7 +100,7 @@
 
 
 def test_restarted_agent_makes_the_outcome_unknown_at_once():
-    """Guard against trusting a restarted agent, or waiting for it.
+    """Guards against trusting a restarted agent, or waiting for it.
 
     The agent crashes with a running call, and its next incarnation has no
     record of the call. "Not run" would make the caller book again; waiting
@@ -147,7 +147,7 @@
 
 
 def test_not_run_is_passed_on_by_the_right_agent_only():
-    """Guard against "not run" from an agent while another one ran the call.
+    """Guards against "not run" from an agent while another one ran the call.
 
     The caller would book again.
     """
@@ -164,7 +164,7 @@
 
 
 def test_refusal_after_a_failed_attempt_is_not_passed_on_as_not_run():
-    """Guard against "not run" for a call whose first attempt may have run.
+    """Guards against "not run" for a call whose first attempt may have run.
 
     The first attempt's backend server crashes, and the next agent refuses the
     retry.
@@ -182,7 +182,7 @@
 
 
 def test_answer_of_another_connection_reaches_nobody():
-    """Guard against responses from another agent or an older connection.
+    """Guards against responses from another agent or an older connection.
 
     Both carry the id of a pending request.
     """
@@ -216,7 +216,7 @@
 
 
 def test_entry_that_was_paused_suspects_nobody():
-    """Guard against false suspicion after a pause of the entry.
+    """Guards against false suspicion after a pause of the entry.
 
     The entry is paused just after a ping. When it resumes, the pong seems
     late, and each idempotent call would be sent twice.
@@ -255,7 +255,7 @@
 
 
 def test_retries_that_go_nowhere_use_up_no_send_budget(monkeypatch):
-    """Guard against spending the retry budget on calls that are not retried.
+    """Guards against spending the retry budget on calls that are not retried.
 
     Calls too close to their deadline are not retried. If the budget were
     spent before this check, a later call with enough time could not retry.
--- a/tests/test_soak_platform.py
+++ b/tests/test_soak_platform.py
@@ -99,7 +99,7 @@
 
 
 def test_losses_of_machines_leave_other_faults_as_they_are():
-    """Guard old seeds: losses must not change the drawing of other faults."""
+    """Guards old seeds: losses must not change the drawing of other faults."""
     seeds = [seed for seed in range(40) if 'heal' not in _names(seed)]
     assert seeds
     for seed in seeds:
@@ -115,7 +115,7 @@
 
 
 def test_calm_follows_losses():
-    """Guard the monitor, which checks only periods without disturbances."""
+    """Guards the monitor, which checks only periods without disturbances."""
     seeds = [seed for seed in range(40) if 'heal' in _names(seed)]
     assert len(seeds) > 20
     for seed in seeds:
@@ -131,7 +131,7 @@
 
 
 def test_a_run_has_each_loss():
-    """Guard against a kind of loss that is never drawn."""
+    """Guards against a kind of loss that is never drawn."""
     events = [each for seed in range(40) for each in draw_plan(seed, 60).events]
     aways = [each.arguments[0] for each in events if each.name == 'away']
     assert None in aways
@@ -248,7 +248,7 @@
 
 
 def test_a_task_is_missed_after_the_rules_bound(watched):
-    """Guard the bound: 6 s after the last run, then 3 s without a run."""
+    """Guards the bound: 6 s after the last run, then 3 s without a run."""
     watched.start_on('agent-0')
     assert watched.missed_after(20) == []
     watched.world.workers['agent-0'].crash()
@@ -257,7 +257,7 @@
 
 
 def test_a_fault_in_the_calm_before_delays_the_bound(watched):
-    """Guard against reporting a task during faults."""
+    """Guards against reporting a task during faults."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
@@ -270,7 +270,7 @@
 
 
 def test_a_start_disturbs_until_the_process_serves_but_not_for_ever(watched):
-    """Guard against a program that never serves and hides missed tasks."""
+    """Guards against a program that never serves and hides missed tasks."""
     program = watched.world.programs['entry-0']
     program.is_up = False
     program.started_at = watched.clock.seconds()
@@ -281,7 +281,7 @@
 
 
 def test_without_room_twice_over_nothing_is_missed(watched):
-    """Guard against reporting a task without capacity for two."""
+    """Guards against reporting a task without capacity for two."""
     watched.start_on('agent-0')
     watched.world.workers['agent-0'].crash()
     watched.world.workers['agent-0'].is_leaving = True
@@ -290,7 +290,7 @@
 
 
 def test_a_task_of_a_machine_that_is_away_waits_for_its_grant(watched):
-    """Guard the separate figure for tasks of lost VMs."""
+    """Guards the separate figure for tasks of lost VMs."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
@@ -300,7 +300,7 @@
 
 
 def test_a_silent_former_owner_makes_the_wait_longer(watched):
-    """Guard against a report while a lost entry may still grant a lease."""
+    """Guards against a report while a lost entry may still grant a lease."""
     watched.start_on('agent-0')
     watched.missed_after(1)
     watched.world.workers['agent-0'].crash()
