--- a/hyssopring/agent/admission.py
+++ b/hyssopring/agent/admission.py
@@ -45,9 +45,9 @@
         if command.worker_boot != boot:
             return 'the worker was replaced'
         if known is not None and not known.is_final:
-            return 'an earlier attempt has not ended'
+            return 'an earlier attempt is still here'
         if command.attempt <= self._newest_by_task.get(command.task_id, 0):
-            return 'this attempt was received before'
+            return 'this attempt was here before'
         return self.lease_refusal_reason(command)
 
     def lease_refusal_reason(self, command: StartTask) -> str:
--- a/hyssopring/agent/attempt_tracker.py
+++ b/hyssopring/agent/attempt_tracker.py
@@ -330,7 +330,7 @@
             else attempt.start_returned_at
         )
         if requested_at > absent_after:
-            self.end(attempt, TaskPhase.STOPPED, 'not listed by the worker')
+            self.end(attempt, TaskPhase.STOPPED, 'gone from the worker')
 
     def _update_from_listing(
         self, attempt: Attempt, listed: WorkerTask
@@ -339,7 +339,7 @@
         if listed.share != attempt.share:
             self._worker.throttle(listed.task_id, attempt.share)
         if listed.phase != TaskPhase.RUNNING.value:
-            self.end(attempt, TaskPhase(listed.phase), 'reported by the worker')
+            self.end(attempt, TaskPhase(listed.phase), 'ended')
         elif attempt.is_unconfirmed:
             self._mark_running(attempt)
 
--- a/hyssopring/agent/calls.py
+++ b/hyssopring/agent/calls.py
@@ -183,9 +183,7 @@
                 self._reject_queued(call, failure)
             elif not self._backends.has_service(service_name):
                 # The entry sends the call to another VM.
-                failure = Failure(
-                    ErrorKind.NO_BACKEND, 'no backend server accepts calls'
-                )
+                failure = Failure(ErrorKind.NO_BACKEND, 'the backend left')
                 self._reject_queued(call, failure)
         self._fill_slots()
 
@@ -213,9 +211,7 @@
             return True
         remembered = self._memory.response_to(request_id)
         if remembered is None and self._memory.may_have_seen(request_id, after):
-            remembered = _unknown(
-                request_id, 'the response is no longer stored'
-            )
+            remembered = _unknown(request_id, 'the answer is no longer kept')
         if remembered is None:
             return False
         self._links.send(entry_id, remembered)
--- a/hyssopring/agent/queue.py
+++ b/hyssopring/agent/queue.py
@@ -66,7 +66,7 @@
         slot_wait_ms = self._backends.mean_slot_wait_ms(request.service_name)
         wait_ms = (len(waiting) + 1) * slot_wait_ms
         if len(waiting) >= self._max_waiting:
-            detail = f'{len(waiting)} calls are queued already'
+            detail = f'{len(waiting)} calls wait already'
         elif wait_ms >= request.budget_ms:
             detail = f'would wait {wait_ms:.0f} ms of {request.budget_ms:.0f}'
         else:
--- a/hyssopring/agent/tasks.py
+++ b/hyssopring/agent/tasks.py
@@ -160,9 +160,7 @@
         if attempt is None or not is_current:
             return
         if attempt.command.attempt == command.attempt:
-            self._tracker.stop(
-                attempt, StopMode(command.mode), 'requested by its planner'
-            )
+            self._tracker.stop(attempt, StopMode(command.mode), 'asked')
 
     def on_throttle(self, command: ThrottleTask) -> None:
         """Set a task's share of processor time for its current planner."""
@@ -220,7 +218,7 @@
     ) -> str:
         """Reserve capacity for a start, or return why it is refused."""
         if self._closed_reason or not self._tracker.worker_boot:
-            return self._closed_reason or 'the worker is not responding'
+            return self._closed_reason or 'the worker has not answered'
         reason = self._admission.refusal_reason(
             command, known, self._tracker.worker_boot
         )
@@ -267,7 +265,7 @@
                 self._tracker.end, attempt, TaskPhase.REFUSED, _NO_CAPACITY
             ),
         )
-        reason = f'preempted by {command.task_id}'
+        reason = f'makes room for {command.task_id}'
         for task_id in victims:
             self._tracker.stop(
                 self._tracker.attempt_by_task[task_id],
--- a/hyssopring/configuration/changes.py
+++ b/hyssopring/configuration/changes.py
@@ -68,9 +68,7 @@
         """Validate and commit one change; ``done`` is called once."""
         failure = document_failure(change.key, change.document)
         if failure is None and len(self._pending) >= _MAX_PENDING:
-            failure = Failure(
-                ErrorKind.OVERLOADED, 'too many changes are pending'
-            )
+            failure = Failure(ErrorKind.OVERLOADED, 'too many changes wait')
         if failure is not None:
             done(Err(failure))
             return
@@ -193,7 +191,7 @@
             if pending.conflicts > _MAX_CONFLICTS:
                 pending.fail(
                     ErrorKind.OVERLOADED,
-                    'too many conflicts with other changes',
+                    'lost too many races',
                 )
             else:
                 requeued.append(pending)
--- a/hyssopring/entry/claims.py
+++ b/hyssopring/entry/claims.py
@@ -202,7 +202,7 @@
             self._fail_all(
                 Failure(
                     ErrorKind.STORE_UNAVAILABLE,
-                    'the table service did not respond in time',
+                    'no answer',
                 )
             )
         self._flush()
@@ -347,7 +347,7 @@
             write.checks = (Check(released[0].key, released[0].version),)
             self._waiting.append(write)
             return
-        failure = Failure(ErrorKind.CONFLICT, 'the claim was deleted')
+        failure = Failure(ErrorKind.CONFLICT, 'the claim has expired')
         write.finish(Err(failure))
 
     def _finish_taken(self, write: _Write, row: ClaimRow) -> None:
--- a/hyssopring/placement/preemption.py
+++ b/hyssopring/placement/preemption.py
@@ -41,8 +41,8 @@
     chosen.available = chosen.available.minus(size)
     return Placement(
         chosen.agent,
-        f'urgency {policy.urgency} preempts about {evictions:.1f} '
-        'less urgent tasks',
+        f'urgency {policy.urgency} makes room, about {evictions:.1f} '
+        'less urgent tasks give way',
     )
 
 
--- a/hyssopring/placement/task_reconciler.py
+++ b/hyssopring/placement/task_reconciler.py
@@ -76,7 +76,7 @@
             for planned in of_other_boots:
                 key = (agent_id, planned.task.worker_boot)
                 if self._has_expired(planned, granted_at_by_key.get(key, 0)):
-                    self._states.requeue(planned, 'lease expired')
+                    self._states.requeue(planned, 'lease lapsed')
 
     def handle_status(
         self,
@@ -149,7 +149,7 @@
                 or (task.task_id, task.attempt) in reported_attempts
             )
             if is_reconcilable and not is_reported:
-                self._states.requeue(planned, 'not reported by its agent')
+                self._states.requeue(planned, 'not on its agent')
 
     def _has_expired(self, planned: PlannedTask, granted_at: float) -> bool:
         # An earlier planner may have granted leases until this entry
--- a/hyssopring/placement/task_steps.py
+++ b/hyssopring/placement/task_steps.py
@@ -108,6 +108,6 @@
         ):
             # The start was not sent, so the attempt does not run anywhere.
             task.refusals += 1
-            self._states.requeue(planned, 'agent is disconnected')
+            self._states.requeue(planned, 'agent has gone')
             return
         task.sent_generation = record.generation
--- a/hyssopring/protocol/codec.py
+++ b/hyssopring/protocol/codec.py
@@ -77,7 +77,7 @@
     except _DECODE_ERRORS as error:
         raise ProtocolError(f'undecodable frame: {error!r}') from error
     if buffer.cstringio_buf.tell() != len(payload):
-        raise ProtocolError('trailing bytes after the message')
+        raise ProtocolError('bytes are left over after the message')
     return _unwrap(envelope)
 
 
@@ -89,7 +89,7 @@
     ]
     if len(present_classes) != 1:
         raise ProtocolError(
-            f'frame holds {len(present_classes)} messages instead of one'
+            f'a frame holds {len(present_classes)} messages, not one'
         )
     wire = getattr(envelope, _FIELD_BY_CLASS[present_classes[0]])
     try:
--- a/hyssopring/protocol/frames.py
+++ b/hyssopring/protocol/frames.py
@@ -107,7 +107,7 @@
 
     def lengthLimitExceeded(self, length: int) -> None:
         """Report a frame longer than ``MAX_FRAME_BYTES``."""
-        self._fail(f'frame of {length} bytes exceeds {MAX_FRAME_BYTES} bytes')
+        self._fail(f'a frame of {length} bytes is too long')
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:
         """Call ``on_close``."""
--- a/hyssopring/store/client.py
+++ b/hyssopring/store/client.py
@@ -116,7 +116,7 @@
 
 def _parse_response(response: FetchedResponse) -> Result[Any, Failure]:
     if response.status not in {_HTTP_OK, _HTTP_CONFLICT}:
-        detail = f'the table service responded with status {response.status}'
+        detail = f'the table answered with status {response.status}'
         return Err(Failure(ErrorKind.STORE_UNAVAILABLE, detail))
     try:
         return Ok(json.loads(response.body))
--- a/hyssopring/store/queue.py
+++ b/hyssopring/store/queue.py
@@ -144,7 +144,7 @@
         committed, of kind ``STORE_UNAVAILABLE`` that it was not.
         """
         if self._is_full():
-            done(Err(_unavailable('too many store calls are pending')))
+            done(Err(_unavailable('too many store calls are waiting')))
             return
         kind = transaction.puts[0].key.partition('/')[0]
         deadline = self._clock.now() + self._limits.call_timeout_ms
@@ -156,7 +156,7 @@
     def read(self, prefix: str, done: ReadCallback) -> None:
         """Read all rows under a prefix; pending reads of it are merged."""
         if self._is_full():
-            done(Err(_unavailable('too many store calls are pending')))
+            done(Err(_unavailable('too many store calls are waiting')))
             return
         pending_read = self._read_by_prefix.get(prefix)
         if pending_read is None:
@@ -335,7 +335,7 @@
             while queue and queue[0].deadline <= now_ms:
                 self._fail(
                     queue.popleft(),
-                    _unavailable('the table service is unreachable'),
+                    _unavailable('the table is down'),
                 )
         expired = [group for group in self._retries if group.deadline <= now_ms]
         for group in expired:
@@ -350,7 +350,7 @@
                 self._read_by_prefix.pop(pending_read.prefix)
                 self._pending -= len(pending_read.callbacks)
                 for done in pending_read.callbacks:
-                    done(Err(_unavailable('the table service is unreachable')))
+                    done(Err(_unavailable('the table is down')))
 
     def _fail(self, pending: PendingCommit, failure: Failure) -> None:
         self._pending -= 1
@@ -370,6 +370,4 @@
 
 
 def _outcome_unknown() -> Failure:
-    return Failure(
-        ErrorKind.OUTCOME_UNKNOWN, 'no response from the table service'
-    )
+    return Failure(ErrorKind.OUTCOME_UNKNOWN, 'no answer from the table')
