--- a/hyssopring/jobs/interference.py
+++ b/hyssopring/jobs/interference.py
@@ -27,7 +27,7 @@
 )
 
 # The prior for the headroom that a core of an unknown image takes, and its
-# variance. Of 36 measured pairs, ten took 0.2 to 0.5, two 0.16 and the others
+# variance. Of 36 pairs, ten took 0.2 to 0.5, two 0.16 and the others
 # less than 0.1.
 _PRIOR_MEAN: Final = 0.15
 _PRIOR_VARIANCE: Final = 0.1
