--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,10 +1,10 @@
-"""How soon an accepted change is in force in every process.
+"""Delay until an accepted change is in force in every process.
 
 ``python -m bench.configuration [--changes N]``: three entries and six agents
-as processes over loopback, with the table's stand-in. Each change goes to one
-of the entries in turn; the time runs from its acceptance until every entry
-shows the version for itself and for each of its agents. A third of the
-changes meet a table that goes away the moment they are accepted.
+as processes over loopback, with the stand-in for the table. Changes go to the
+entries in round-robin order. The delay is measured from acceptance until every
+entry reports the version for itself and for each of its agents. For a third
+of the changes, the table becomes unavailable as soon as they are accepted.
 """
 
 import argparse
@@ -30,58 +30,61 @@
         processes.spawn('standins.worker', worker)
         time.sleep(1)
         entries = [processes.entry(table, n) for n in range(ENTRIES)]
-        seeds = [entries[0].inner]
+        seeds = [entries[0].inner_address]
         for number in range(AGENTS):
             processes.agent(seeds, worker, number)
-        wait_until(entries, 0)
-        times = {False: [], True: []}
+        wait_until_in_force(entries, 0)
+        times_s_by_is_cut = {False: [], True: []}
         for number in range(changes):
             is_cut = number % 3 == 2
-            times[is_cut].append(change(entries, number, table, is_cut))
+            times_s_by_is_cut[is_cut].append(
+                change(entries, number, table, is_cut)
+            )
             time.sleep(0.5)
-    for is_cut, each in times.items():
+    for is_cut, times_s in times_s_by_is_cut.items():
         kind = 'table away at once' if is_cut else 'table there'
         print(
-            f'{kind}: {len(each)} changes, median'
-            f' {statistics.median(each):.2f} s, longest {max(each):.2f} s'
+            f'{kind}: {len(times_s)} changes, median'
+            f' {statistics.median(times_s):.2f} s, longest {max(times_s):.2f} s'
         )
 
 
 def change(entries, number, table, is_cut):
     entry = entries[number % ENTRIES]
-    answer = entry.operate(
+    accepted = entry.operate(
         'PUT', f'configuration/team/t{number}', {'cores': 1.0}
     )
     start = time.monotonic()
     if is_cut:
-        switch(table, True)
-    wait_until(entries, answer['version'])
-    took = time.monotonic() - start
+        set_outage(table, True)
+    wait_until_in_force(entries, accepted['version'])
+    took_s = time.monotonic() - start
     if is_cut:
-        switch(table, False)
+        set_outage(table, False)
         time.sleep(3)
-    return took
+    return took_s
 
 
-def switch(table, outage):
+def set_outage(table, outage):
     body = json.dumps({'outage': outage}).encode()
     urllib.request.urlopen(f'http://{table}/switches', body, timeout=5).close()
 
 
-def wait_until(entries, version):
+def wait_until_in_force(entries, version):
     deadline = time.monotonic() + 30
     while time.monotonic() < deadline:
-        if all(is_in_force(entry, version) for entry in entries):
+        if all(has_version(entry, version) for entry in entries):
             return
         time.sleep(0.02)
     raise SystemExit(f'version {version} is not in force everywhere')
 
 
-def is_in_force(entry, version):
-    page = entry.operate('GET', 'status')
-    agents = [each['configuration'] for each in page['agents']]
+def has_version(entry, version):
+    status = entry.operate('GET', 'status')
+    agents = [agent['configuration'] for agent in status['agents']]
     return (
-        len(agents) == AGENTS and min(page['configuration'], *agents) >= version
+        len(agents) == AGENTS
+        and min(status['configuration'], *agents) >= version
     )
 
 
--- a/bench/crashing.py
+++ b/bench/crashing.py
@@ -1,11 +1,11 @@
-"""What a task that crashes workers costs those beside it, in virtual time.
+"""Cost of a task that crashes workers to colocated tasks, in virtual time.
 
     python -m bench.crashing [--seeds 10] [--workers 11] [--seconds 60]
 
-Workers carry twelve keepers and a stream of small jobs; one job has a task that
-crashes each worker that starts it, which is back after 3 s. Printed for each
-seed and as means: crashes, keeper-seconds away, attempts of others that were
-lost, and when the job was given up.
+Workers run twelve keepers and a stream of small jobs; one job has a task that
+crashes each worker that starts it. A crashed worker restarts after 3 s. Prints
+for each seed, and as means, the crashes, the keeper-seconds without a running
+keeper, the lost attempts of other tasks, and when the job was given up.
 """
 
 import random
@@ -22,18 +22,20 @@
 CRASHING: Final = 0xC
 FIRST_JOB: Final = 0x100
 TICK_S: Final = 0.1
-JOB_EACH_S: Final = 0.4
-FOREVER_MS: Final = 1e9
-LONG_MS: Final = 1600
+SUBMIT_INTERVAL_S: Final = 0.4
+UNLIMITED_WORK_MS: Final = 1e9
+MAX_WORK_MS: Final = 1600
 
 
 @dataclass
 class Cost:
-    """What one seed came to.
+    """Result of one seed.
 
     Attributes:
+        crashes: Number of worker crashes.
         away_s: Keeper-seconds in which a keeper did not run.
-        given_up_s: From the first start to the job's end, or None.
+        lost: Attempts of other jobs that ended in a crash.
+        given_up_s: Seconds from the first start to the job's end, or None.
     """
 
     crashes: int
@@ -46,8 +48,8 @@
     """One seed of the measurement."""
 
     def __init__(self, seed, count, seconds):
-        """Settle the keepers; the crashing job is not there yet."""
-        self._chances = random.Random(seed)
+        """Start the keepers, without the crashing job."""
+        self._random = random.Random(seed)
         self._seconds = seconds
         self._deployment = settled(
             Deployment(workers=count, work_ms=self._work_ms)
@@ -55,15 +57,15 @@
         self._keepers = a_job(1, steps=((KEEPERS, ()),), is_keeper=True)
         self._job = a_job(CRASHING, steps=((6, ()),))
         self._next_job = FIRST_JOB
-        for each in self._deployment.workers:
-            each.kills = f'{self._job.job_id}.0.0.0'.__eq__
+        for worker in self._deployment.workers:
+            worker.kills = f'{self._job.job_id}.0.0.0'.__eq__
         self._deployment.submit(self._keepers)
-        self._pass(3)
+        self._run(3)
 
-    def play(self):
-        """Hand the crashing job in, and add up what follows."""
+    def run(self):
+        """Submit the crashing job and return its cost."""
         self._deployment.submit(self._job)
-        away_s = self._pass(self._seconds)
+        away_s = self._run(self._seconds)
         record = self._deployment.book
         return Cost(
             sum(map(len, record.kills.values())),
@@ -74,26 +76,26 @@
 
     def _work_ms(self, task):
         if task.startswith(self._keepers.job_id):
-            return FOREVER_MS
-        return self._chances.uniform(LONG_MS / 2, LONG_MS)
+            return UNLIMITED_WORK_MS
+        return self._random.uniform(MAX_WORK_MS / 2, MAX_WORK_MS)
 
-    def _pass(self, seconds):
+    def _run(self, seconds):
         away_s = 0
-        due = self._now()
+        submit_at = self._now()
         end = self._now() + seconds
         while self._now() < end:
-            if self._now() >= due:
-                due += self._chances.expovariate(1 / JOB_EACH_S)
+            if self._now() >= submit_at:
+                submit_at += self._random.expovariate(1 / SUBMIT_INTERVAL_S)
                 self._deployment.submit(a_job(self._next_job))
                 self._next_job += 1
             self._deployment.run(TICK_S)
-            away_s += TICK_S * (KEEPERS - self._at_work())
+            away_s += TICK_S * (KEEPERS - self._running_keepers())
         return away_s
 
     def _now(self):
         return self._deployment.reactor.seconds()
 
-    def _at_work(self):
+    def _running_keepers(self):
         running = self._deployment.book.running
         return sum(
             bool(running.get(str(task))) for task in self._keepers.tasks(0, 0)
@@ -114,10 +116,10 @@
 
 def measure(seeds=10, workers=11, seconds=60):
     """Print a line for each seed, and the means."""
-    _lift_budget()
+    _lift_crash_limit()
     costs = []
     for seed in range(seeds):
-        cost = CrashingTask(seed, workers, seconds).play()
+        cost = CrashingTask(seed, workers, seconds).run()
         print(seed, cost)
         costs.append(cost)
     for name in ('crashes', 'away_s', 'lost'):
@@ -125,8 +127,8 @@
         print(f'mean {name}: {total / len(costs):.1f}')
 
 
-def _lift_budget():
-    """Let code without a bound go on to the end."""
+def _lift_crash_limit():
+    """Raise the crash limit of the stand-in, to measure unbounded crashes."""
     book.MOST_KILLS = 10**6
 
 
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,10 +1,11 @@
-"""What membership costs when nothing happens, and how it is spread.
+"""Idle cost of membership and its distribution over the entries.
 
 ``python -m bench.membership [--quick]``. Real daemons over loopback sockets
-with emulated peers (``bench.peers``): idle cost of one agent by its entries
-and of one entry by its agents, with the fit and its error, then the entry
-again with the pace that it asks for. Then, worked out: subsets and sums at
-5,100 agents. Byte counts are the transports' own; headers are added as said.
+with emulated peers (``bench.peers``): idle cost of one agent by number of
+entries and of one entry by number of agents, with the fit and its error, then
+the entry with the heartbeat interval that it requests. Subsets and totals at
+5,100 agents are computed from the fits. Byte counts are those of the
+transports, plus `HEADER_BYTES`.
 """
 
 import statistics
@@ -44,26 +45,28 @@
             METRICS,
         ),
     }
-    slopes = {name: slope_record(each) for name, each in points.items()}
+    slopes = {name: slope_record(sizes) for name, sizes in points.items()}
     print('Per connection at one heartbeat a second:')
     for name, slope in slopes.items():
         show(name, slope)
     print('One entry at the pace that it asks for:')
     for agents in daemons.sizes(96, 192, 384):
-        paced_entry(daemons, agents)
+        measure_paced_entry(daemons, agents)
     print(f'Worked out at {AGENTS} agents, {FULL_MESH} entries each:')
     for entries in (12, 40, 60):
-        at_size(entries, slopes)
+        show_costs(entries, slopes)
 
 
-def paced_entry(daemons, agents):
+def measure_paced_entry(daemons, agents):
     with Processes() as processes:
         table = free_address()
         processes.spawn('standins.table', table)
         time.sleep(0.7)
         node = processes.entry(table)
         node.configure()
-        processes.spawn('bench.peers', 'agents', node.inner, agents, 1, 'paced')
+        processes.spawn(
+            'bench.peers', 'agents', node.inner_address, agents, 1, 'paced'
+        )
         time.sleep(daemons.settle_s + 6 + agents * 0.003)
         used = node.measure(daemons.window_s)
         print(
@@ -73,34 +76,34 @@
         )
 
 
-def at_size(entries, slopes):
+def show_costs(entries, slopes):
     members = [
         EntryMember(f'entry-{n}', f'10.0.0.{n}:1', f'zone-{n % ZONES}')
         for n in range(entries)
     ]
-    taken = dict.fromkeys(members, 0)
+    counts = dict.fromkeys(members, 0)
     for number in range(AGENTS):
         for member in choose_entries(f'agent-{number}', members):
-            taken[member] += 1
-    mean = statistics.mean(taken.values())
-    interval = heartbeat_interval_ms(mean)
+            counts[member] += 1
+    mean = statistics.mean(counts.values())
+    interval_ms = heartbeat_interval_ms(mean)
     links = min(entries, FULL_MESH)
 
     def cost(name, count):
-        beats = count * 1000 / interval
-        total = sum(
+        rate = count * 1000 / interval_ms
+        payload = sum(
             slopes[f'{name}.{way}']['slope'] for way in ('sent', 'received')
         )
         return (
-            f'{beats:.1f} beats/s,'
-            f' {beats * (total + HEADER_BYTES) / 1000:.2f} KB/s,'
-            f' {beats * slopes[f"{name}.cpu"]["slope"] / 10:.2f} % of a core'
+            f'{rate:.1f} beats/s,'
+            f' {rate * (payload + HEADER_BYTES) / 1000:.2f} KB/s,'
+            f' {rate * slopes[f"{name}.cpu"]["slope"] / 10:.2f} % of a core'
         )
 
     print(
         f'    {entries} entries: {mean:.0f} agents each'
-        f' ({min(taken.values())} to {max(taken.values())}),'
-        f' a heartbeat each {interval / 1000:.1f} s'
+        f' ({min(counts.values())} to {max(counts.values())}),'
+        f' a heartbeat each {interval_ms / 1000:.1f} s'
     )
     print(f'        agent: {cost("agent.entries", links)}')
     print(f'        entry: {cost("entry.agents", mean)}')
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,9 +1,10 @@
-"""Emulated peers that speak the real inner protocol, many in one process.
+"""Emulated peers that use the real inner protocol, many in one process.
 
-``agents ADDRESS COUNT BACKENDS [paced]``: agents that dial an entry, beat each
-second (``paced``: when the entry asks for it), and answer each call at once.
-``entries PORTS TASKS CALLS_PER_S STARTS_PER_S``: entries
-that grant leases, start tasks and send calls to the agent that dials them.
+``agents ADDRESS COUNT BACKENDS [paced]``: agents that dial an entry, send a
+heartbeat every second (``paced``: at the interval that the entry requests) and
+answer each call immediately.
+``entries PORTS TASKS CALLS_PER_S STARTS_PER_S``: entries that grant
+leases, start tasks and send calls to the agent that dials them.
 """
 
 import random
@@ -21,26 +22,30 @@
 
 CLOCK = MonotonicClock()
 LEASE_MS = 3_600_000.0
-SHORT_MS = 300.0
+SHORT_TASK_MS = 300.0
 
 
 class Peer(Factory):
+    """Connection factory; subclasses handle the messages."""
+
     noisy = False
 
     def buildProtocol(self, addr):
         return InnerConnection(
             CLOCK,
-            self.opened,
-            self.received,
+            self.on_opened,
+            self.on_message,
             lambda connection, detail: connection.close(),
             lambda connection: None,
         )
 
-    def opened(self, connection):
-        """Agents wait for the entry to speak first."""
+    def on_opened(self, connection):
+        """Do nothing: an agent waits for the challenge of the entry."""
 
 
 class EmulatedAgent(Peer):
+    """An agent with fixed backends that completes each task after 0.5 s."""
+
     def __init__(self, number, backends, is_paced=False):
         self.sequence = 0
         self.is_paced = is_paced
@@ -53,8 +58,8 @@
         )
         self.reports = tuple(
             m.BackendReport(
-                'trust/booking' if each == 0 else f'trust/service-{each}',
-                f'backend-{number}-{each}',
+                'trust/booking' if index == 0 else f'trust/service-{index}',
+                f'backend-{number}-{index}',
                 8,
                 64,
                 False,
@@ -62,18 +67,22 @@
                 0,
                 20.0,
             )
-            for each in range(backends)
+            for index in range(backends)
         )
         self.version = 0
 
-    def received(self, connection, message):
+    def on_message(self, connection, message):
         if isinstance(message, m.Challenge):
             proof = prove(SECRET, message.nonce, self.identity.agent_id)
             connection.send(self.identity.hello(proof, 0))
         elif isinstance(message, m.Welcome):
-            reactor.callLater(random.random(), self.begin, connection)
+            reactor.callLater(
+                random.random(), self.start_heartbeats, connection
+            )
         elif isinstance(message, m.HeartbeatAck) and self.is_paced:
-            reactor.callLater(message.next_ms / 1000, self.beat, connection)
+            reactor.callLater(
+                message.next_ms / 1000, self.send_heartbeat, connection
+            )
         elif isinstance(message, m.CallRequest):
             connection.send(
                 m.CallResponse(
@@ -81,22 +90,22 @@
                 )
             )
         elif isinstance(message, m.StartTask):
-            self.report(connection, message, 'running')
+            self.send_report(connection, message, 'running')
             reactor.callLater(
-                0.5, self.report, connection, message, 'completed'
+                0.5, self.send_report, connection, message, 'completed'
             )
         elif isinstance(message, m.ConfigurationUpdate):
             self.version = max(self.version, message.version)
 
-    def begin(self, connection):
+    def start_heartbeats(self, connection):
         if self.is_paced:
-            self.beat(connection)
+            self.send_heartbeat(connection)
         else:
-            LoopingCall(self.beat, connection).start(
+            LoopingCall(self.send_heartbeat, connection).start(
                 HEARTBEAT_INTERVAL_MS / 1000
             )
 
-    def report(self, connection, command, phase):
+    def send_report(self, connection, command, phase):
         status = m.TaskStatus(
             command.task_id,
             command.shard,
@@ -106,7 +115,7 @@
         )
         connection.send(m.TaskReport((status,)))
 
-    def beat(self, connection):
+    def send_heartbeat(self, connection):
         self.sequence += 1
         connection.send(
             m.Heartbeat(
@@ -121,6 +130,8 @@
 
 
 class EmulatedEntry(Peer):
+    """An entry that sends calls and starts tasks at fixed rates."""
+
     def __init__(self, number, tasks, calls_per_s, starts_per_s):
         self.starts_per_s = starts_per_s
         self.starts = 0
@@ -134,22 +145,24 @@
             m.LeaseGrant(shard, 1, LEASE_MS, LEASE_MS) for shard in range(2)
         )
 
-    def opened(self, connection):
+    def on_opened(self, connection):
         connection.send(m.Challenge(m.PROTOCOL_VERSION, self.name, 'nonce'))
 
     @property
     def name(self):
         return f'entry-{self.number}'
 
-    def received(self, connection, message):
+    def on_message(self, connection, message):
         if isinstance(message, m.Hello):
             connection.send(m.Welcome(self.name, 0))
             if self.calls_per_s:
-                LoopingCall(self.call, connection).start(1 / self.calls_per_s)
+                LoopingCall(self.send_call, connection).start(
+                    1 / self.calls_per_s
+                )
             if self.starts_per_s:
                 reactor.callLater(
                     2,
-                    LoopingCall(self.start_short, connection).start,
+                    LoopingCall(self.start_short_task, connection).start,
                     1 / self.starts_per_s,
                 )
         elif isinstance(message, m.Heartbeat):
@@ -160,9 +173,9 @@
         elif isinstance(message, m.TaskReport):
             if not self.has_started:
                 self.has_started = True
-                self.start(connection)
+                self.start_tasks(connection)
 
-    def start(self, connection):
+    def start_tasks(self, connection):
         for number in range(self.tasks):
             connection.send(
                 m.StartTask(
@@ -180,7 +193,7 @@
                 )
             )
 
-    def start_short(self, connection):
+    def start_short_task(self, connection):
         self.starts += 1
         connection.send(
             m.StartTask(
@@ -192,13 +205,13 @@
                 'trust/feed',
                 m.Resources(0.25, 0.25),
                 '',
-                SHORT_MS,
+                SHORT_TASK_MS,
                 5,
                 self.boot,
             )
         )
 
-    def call(self, connection):
+    def send_call(self, connection):
         self.calls += 1
         connection.send(
             m.CallRequest(
@@ -215,10 +228,10 @@
         )
 
 
-def dial(address, count, backends, pace=''):
+def dial(address, count, backends, mode=''):
     host, port = address.split(':')
     for number in range(int(count)):
-        agent = EmulatedAgent(number, int(backends), bool(pace))
+        agent = EmulatedAgent(number, int(backends), bool(mode))
         reactor.callLater(
             number * 0.003, reactor.connectTCP, host, int(port), agent
         )
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,7 @@
-"""Placement and interference, measured: ``python -m bench.placement``.
+"""Benchmark of placement and interference: ``python -m bench.placement``.
 
 Runs the real cores of an entry and eleven agents under a virtual clock on
-fake VMs, for both deployments, several seeds and ways of placing; prints a
+fake VMs, for both deployments, several seeds and placement policies; prints a
 table, writes plots to docs/plots. ``--seeds N --minutes M --only NAME``.
 """
 
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from bench.placement_fakes import STEP_MS, Book, FakeVm, Truth
+from bench.placement_fakes import STEP_MS, FakeVm, GroundTruth, RunRecord
 from bench.placement_policies import apply_policy, throttle_exactly
 from hyssopring.configuration import JobSubmission
 from hyssopring.leases import ShardSettings
@@ -28,7 +28,7 @@
     'Trust': (Resources(16, 60, 0), 1.0),
     'Hemeroteca': (Resources(32, 125, 0), 2.0),
 }
-# Name: declared cores, run time, urgency, range of the hidden weight.
+# By name: declared cores, run time in ms, urgency, range of the hidden weight.
 TEMPLATES = {
     'feed': (1.0, 60_000.0, 3, (0.05, 0.3)),
     'rebuild': (2.0, 90_000.0, 3, (0.2, 0.8)),
@@ -41,7 +41,7 @@
 
 
 class Experiment:
-    """One run: a deployment, a way of placing, a seed."""
+    """One run of a deployment, a placement policy and a seed."""
 
     def __init__(self, deployment_name, policy, seed, minutes):
         capacity, self.scale = DEPLOYMENTS[deployment_name]
@@ -55,16 +55,16 @@
             seed=seed,
             shard_settings=ShardSettings(shards=2),
         )
-        self.book = Book(random.Random(seed))
+        self.record = RunRecord(random.Random(seed))
         pairs = {}
         for template, (_, _, _, weights) in TEMPLATES.items():
             for service in SERVICES:
                 pairs[service, template] = self.rng.uniform(*weights)
-        # The pair decides: one service hardly minds the other's plague.
+        # Interference depends on the pair: `scan` hardly slows one service.
         pairs[self.rng.choice(SERVICES), 'scan'] /= 8
-        self.truth = Truth(self.rng, pairs)
+        self.truth = GroundTruth(self.rng, pairs)
         self.vms = [
-            self._fake(agent, number)
+            self._fake_vm(agent, number)
             for number, agent in enumerate(
                 self.deployment.agent_by_name.values()
             )
@@ -72,23 +72,23 @@
         self.job_number = 0
         self.recovery_s = None
 
-    def _fake(self, agent, number, salt=0):
+    def _fake_vm(self, agent, number, salt=0):
         return FakeVm(
             agent,
             SERVICES[number >= 7],
             self.truth,
             f'{self.rng.random()}/{number}/{salt}',
-            self.book,
+            self.record,
         )
 
     def submit(self, template, tasks):
         self.job_number += 1
         job = f'{template}-{self.job_number}'
         if template == 'call':
-            self.book.urgent_at[job] = self.deployment.loop.now
+            self.record.urgent_at[job] = self.deployment.loop.now
         self.deployment.entry().jobs.submit(
             JobSubmission(job_id=job, team='t', template=template, tasks=tasks),
-            lambda answer: answer.unwrap(),
+            lambda response: response.unwrap(),
         )
 
     def configure(self):
@@ -118,16 +118,16 @@
         self.deployment.run(9000)
         apply_policy(self.policy, self.deployment, self.truth)
         self.configure()
-        began = self.deployment.loop.now
-        self.next_wave = began + 60_000
-        self.next_call = began + 50_000
+        started_at = self.deployment.loop.now
+        self.next_wave = started_at + 60_000
+        self.next_call = started_at + 50_000
         steps = 0
-        while self.deployment.loop.now < began + self.end:
+        while self.deployment.loop.now < started_at + self.end:
             now = self.deployment.loop.now
             self.truth.shift(now)
             if steps % 50 == 0:
-                self._arrive(now)
-            self._fail(now - began)
+                self._submit_due(now)
+            self._inject_faults(now - started_at)
             for vm in self.vms:
                 if not vm.is_dead:
                     if self.policy == 'all-knowing':
@@ -135,9 +135,9 @@
                     vm.step()
             self.deployment.run(STEP_MS)
             steps += 1
-        return self._result(began)
+        return self._result(started_at)
 
-    def _arrive(self, now):
+    def _submit_due(self, now):
         waiting = {}
         for planned in self.deployment.entry().core.planner.tasks():
             if planned.task.state.value == 'waiting':
@@ -153,44 +153,51 @@
             self.submit('call', 3)
             self.next_call = now + self.rng.uniform(30_000, 60_000)
 
-    def _fail(self, elapsed):
-        """Lose a rack at 0.4 of the run, break one worker at 0.65."""
-        at = elapsed / self.end
-        lost = range(3, 6)
-        if 0.4 <= at < 0.55 and not self.vms[3].is_dead:
-            for number in lost:
+    def _inject_faults(self, elapsed):
+        """Kill a rack at 0.4 of the run; fail starts on a worker from 0.65."""
+        run_share = elapsed / self.end
+        lost_numbers = range(3, 6)
+        if 0.4 <= run_share < 0.55 and not self.vms[3].is_dead:
+            for number in lost_numbers:
                 self.vms[number].is_dead = True
                 self.deployment.kill_agent(number)
-        elif at >= 0.55 and self.vms[3].is_dead:
-            for number in lost:
+        elif run_share >= 0.55 and self.vms[3].is_dead:
+            for number in lost_numbers:
                 agent = self.deployment.restart_agent(number, keep_worker=False)
-                self.vms[number] = self._fake(agent, number, 1)
-        self.truth.failing = {'agent-10'} if 0.65 <= at < 0.8 else set()
+                self.vms[number] = self._fake_vm(agent, number, 1)
+        self.truth.failing = {'agent-10'} if 0.65 <= run_share < 0.8 else set()
 
-    def _result(self, began):
-        book = self.book
-        latencies = sorted(took for _, took, _ in book.latencies)
-        alone = sorted(took / factor for _, took, factor in book.latencies)
-        factors = [factor for _, _, factor in book.latencies]
+    def _result(self, started_at):
+        record = self.record
+        latencies = sorted(latency_ms for _, latency_ms, _ in record.latencies)
+        alone_ms = sorted(
+            latency_ms / factor for _, latency_ms, factor in record.latencies
+        )
+        factors = [factor for _, _, factor in record.latencies]
         self.invariants = self.deployment.entry().core.metrics
-        lost_at = int((began + 0.4 * self.end) // 1000)
-        rate = book.work_by_second
-        before = sum(rate.get(lost_at - s, 0) for s in range(1, 31)) / 30
+        outage_s = int((started_at + 0.4 * self.end) // 1000)
+        work_by_second = record.work_by_second
+        before = (
+            sum(work_by_second.get(outage_s - s, 0) for s in range(1, 31)) / 30
+        )
         recovery = next(
             (
                 s
                 for s in range(1, 300)
-                if sum(rate.get(lost_at + s + k, 0) for k in range(5)) / 5
+                if sum(
+                    work_by_second.get(outage_s + s + k, 0) for k in range(5)
+                )
+                / 5
                 >= 0.9 * before * 8 / 11
             ),
             300,
         )
         keepers = [
-            at - lost_at * 1000
-            for at in book.keeper_up.values()
-            if at > lost_at * 1000
+            at - outage_s * 1000
+            for at in record.keeper_started_at.values()
+            if at > outage_s * 1000
         ]
-        urgent = sorted(book.urgent_ms) or [0]
+        urgent_ms = sorted(record.urgent_ms) or [0]
         failed = sum(
             planned.task.state.value == 'failed'
             for planned in self.deployment.entry().core.planner.tasks()
@@ -199,40 +206,42 @@
             'p50': latencies[len(latencies) // 2],
             'p99': latencies[int(len(latencies) * 0.99)],
             'p99.9': latencies[int(len(latencies) * 0.999)],
-            'p99.9 alone': alone[int(len(alone) * 0.999)],
+            'p99.9 alone': alone_ms[int(len(alone_ms) * 0.999)],
             'slow': sum(f > 1.5 for f in factors) / len(factors),
-            'work': book.work / self.end,
-            'noisy': book.noisy_work / self.end,
-            'done': book.completed,
-            'evicted': book.evictions,
-            'keepers evicted': book.keeper_evictions,
-            'throttles': book.throttles,
-            'urgent p50': urgent[len(urgent) // 2],
-            'urgent max': urgent[-1],
+            'work': record.work / self.end,
+            'noisy': record.noisy_work / self.end,
+            'done': record.completed,
+            'evicted': record.evictions,
+            'keepers evicted': record.keeper_evictions,
+            'throttles': record.throttles,
+            'urgent p50': urgent_ms[len(urgent_ms) // 2],
+            'urgent max': urgent_ms[-1],
             'recovery s': recovery,
             'keepers back s': max(keepers, default=0) / 1000,
-            'bad starts': book.bad_starts,
+            'bad starts': record.bad_starts,
             'failed': failed,
-            'series': self._series(began),
+            'series': self._series(started_at),
         }
 
-    def _series(self, began):
-        """Return p99 of each 10 s, for the plot."""
+    def _series(self, started_at):
+        """Return the p99 latency of each 10 s, for the plot."""
         buckets = {}
-        for at, took, _ in self.book.latencies:
-            buckets.setdefault(int((at - began) // 10_000), []).append(took)
+        for at, latency_ms, _ in self.record.latencies:
+            buckets.setdefault(int((at - started_at) // 10_000), []).append(
+                latency_ms
+            )
         return [
-            (10 * bucket, sorted(tooks)[int(len(tooks) * 0.99)])
-            for bucket, tooks in sorted(buckets.items())
+            (10 * bucket, sorted(latencies_ms)[int(len(latencies_ms) * 0.99)])
+            for bucket, latencies_ms in sorted(buckets.items())
         ]
 
 
 def run_one(job):
     logger.remove()
     deployment, policy, seed, minutes = job
-    began = time.process_time()
+    started_at = time.process_time()
     result = Experiment(deployment, policy, seed, minutes).run()
-    result['cpu s'] = time.process_time() - began
+    result['cpu s'] = time.process_time() - started_at
     return job, result
 
 
@@ -264,16 +273,21 @@
         results_by_policy
     ):
         best = min(
-            statistics.median(r['p99.9'] for r in results_by_policy[name])
+            statistics.median(
+                result['p99.9'] for result in results_by_policy[name]
+            )
             for name in baselines
         )
-        own = results_by_policy['learned']
-        bound = results_by_policy['all-knowing']
-        tails = statistics.median(r['p99.9'] for r in own) / best
+        learned = results_by_policy['learned']
+        oracle = results_by_policy['all-knowing']
+        tails = statistics.median(result['p99.9'] for result in learned) / best
         work = statistics.median(
-            a['work'] / b['work'] for a, b in zip(own, bound)
+            a['work'] / b['work'] for a, b in zip(learned, oracle)
+        )
+        floor = (
+            statistics.median(result['p99.9 alone'] for result in learned)
+            / best
         )
-        floor = statistics.median(r['p99.9 alone'] for r in own) / best
         print(f'\np99.9 against the best baseline: {tails:.2f} (aim 0.5)')
         print(f'the same with no batch work at all: {floor:.2f}')
         print(
--- a/bench/placement_fakes.py
+++ b/bench/placement_fakes.py
@@ -1,9 +1,9 @@
-"""Small fakes for the placement experiment: VMs with a hidden truth.
+"""Fake VMs with a hidden ground truth for the placement experiment.
 
-A fake VM runs the tasks that the real agent starts on it, measures their use
-late and with noise, and draws the latencies of the backend server beside
-them from a slowdown that nothing in the product knows: by pair, by load,
-linear in cores (the learned model is exponential in them).
+A fake VM runs the tasks that the real agent starts on it and measures their use
+with delay and noise. The latencies of the colocated backend server are drawn
+from a slowdown hidden from the scheduler, which depends on the pair and the
+load and is linear in cores (the learned model is exponential in them).
 """
 
 import math
@@ -24,8 +24,13 @@
 
 
 @dataclass
-class Truth:
-    """What only the fakes know: sensitivities, loads and what is broken."""
+class GroundTruth:
+    """Hidden sensitivities, loads and faults.
+
+    Attributes:
+        weight_by_pair: Slowdown weight by service and template.
+        failing: Names of agents on which all starts fail.
+    """
 
     rng: random.Random
     weight_by_pair: dict
@@ -34,22 +39,24 @@
     failing: set = field(default_factory=set)
 
     def shift(self, now):
-        """Let the load of all services jump without warning."""
+        """Draw a new load of all services when it is due."""
         if now >= self.next_shift:
             self.load = self.rng.uniform(0.25, 0.75)
             self.next_shift = now + self.rng.uniform(40_000, 120_000)
 
     def slowdown(self, service, parts, load):
-        """Return the factor on latency beside these parts of the cores."""
-        harm = sum(
+        """Return the factor on latency for parts of the cores by template."""
+        interference = sum(
             self.weight_by_pair[service, template] * part
             for template, part in parts.items()
         )
-        return 1 + harm * (0.3 + 1.4 * load**2)
+        return 1 + interference * (0.3 + 1.4 * load**2)
 
 
 @dataclass
 class FakeTask:
+    """A task on a fake VM; `done_ms` is its progress toward `work_ms`."""
+
     command: object
     until: float
     cores: float
@@ -64,10 +71,10 @@
 class FakeVm:
     """A worker and one backend server; drives the agent's real ports."""
 
-    def __init__(self, agent, service, truth, seed, book):
+    def __init__(self, agent, service, truth, seed, record):
         self.agent, self.service, self.truth = agent, service, truth
         self.rng = random.Random(seed)
-        self.book = book
+        self.record = record
         self.loop = agent.deployment.loop
         self.cores = agent.core.identity.capacity.cores
         self.number = seed
@@ -84,23 +91,23 @@
         agent.core.backends.announce(self.backend)
 
     def start(self, command, until, done):
-        self.book.started(command, self.loop.now)
+        self.record.started(command, self.loop.now)
         task = FakeTask(
             command,
             until,
-            *self.book.truth_of(command),
+            *self.record.draw_truth(command),
             float(command.checkpoint or 0),
         )
         if self.agent.name in self.truth.failing:
             task.phase = 'failed'
-            self.book.bad_starts += 1
+            self.record.bad_starts += 1
         self.task_by_id[command.task_id] = task
         self.loop.later(5, done, True)
 
     def stop(self, command, mode, done):
         task = self.task_by_id.pop(command.task_id, None)
         if task and task.phase == 'running' and not self.is_dead:
-            self.book.stopped(task.command)
+            self.record.stopped(task.command)
         phase = task.phase if task else 'stopped'
         if phase == 'running':
             phase = 'stopped'
@@ -109,7 +116,7 @@
 
     def throttle(self, task_id, share):
         if task_id in self.task_by_id:
-            self.book.throttles += 1
+            self.record.throttles += 1
             self.task_by_id[task_id].share = share
 
     def renew(self, until_by_task):
@@ -136,10 +143,12 @@
         return WorkerListing(f'boot-{self.number}', tasks)
 
     def running(self):
-        return [t for t in self.task_by_id.values() if t.phase == 'running']
+        return [
+            task for task in self.task_by_id.values() if task.phase == 'running'
+        ]
 
     def parts(self):
-        """Return the true part of the cores by template, shares applied."""
+        """Return the part of the cores by template that running tasks use."""
         parts = {}
         for task in self.running():
             template = task.command.service_name.rpartition('/')[2]
@@ -155,37 +164,43 @@
             if now > task.until or (is_over and task.ended_at):
                 self.task_by_id.pop(task_id)
         running = self.running()
-        wanted = sum(task.cores * task.share for task in running)
-        squeeze = min(1.0, self.cores / wanted) if wanted else 1.0
+        requested_cores = sum(task.cores * task.share for task in running)
+        cpu_factor = (
+            min(1.0, self.cores / requested_cores) if requested_cores else 1.0
+        )
         for task in running:
-            self._advance(task, squeeze, now)
-        aim = min(max(self.truth.load + self.rng.gauss(0, 0.05), 0.05), 0.9)
-        self.load += 0.1 * (aim - self.load)
+            self._advance(task, cpu_factor, now)
+        target_load = min(
+            max(self.truth.load + self.rng.gauss(0, 0.05), 0.05), 0.9
+        )
+        self.load += 0.1 * (target_load - self.load)
         self.agent.core.backends.announce(self.backend)
         self.backend.in_flight = round(self.load * SLOTS)
         factor = self.truth.slowdown(self.service, self.parts(), self.load)
         for _ in range(_CALLS_PER_STEP):
             noise = math.exp(self.rng.gauss(0, _SPREAD))
-            took = _BASE_MS * noise * factor / (1 - self.load**2)
-            self.book.latencies.append((now, took, factor))
-            self.backend.tail.add(now, took)
+            latency_ms = _BASE_MS * noise * factor / (1 - self.load**2)
+            self.record.latencies.append((now, latency_ms, factor))
+            self.backend.tail.add(now, latency_ms)
 
-    def _advance(self, task, squeeze, now):
+    def _advance(self, task, cpu_factor, now):
         noise = self.rng.uniform(0.85, 1.15)
-        lag = STEP_MS / _LAG_MS
-        task.measured += lag * (task.cores * task.share * noise - task.measured)
-        done = STEP_MS * task.share * squeeze
+        step_share = STEP_MS / _LAG_MS
+        task.measured += step_share * (
+            task.cores * task.share * noise - task.measured
+        )
+        done = STEP_MS * task.share * cpu_factor
         task.done_ms += done
         if task.command.kind == 'batch':
-            self.book.work += done * task.cores
-            self.book.note_rate(now, done * task.cores, task.command)
+            self.record.work += done * task.cores
+            self.record.record_work(now, done * task.cores, task.command)
             if task.done_ms >= task.work_ms:
                 task.phase, task.ended_at = 'completed', now
-                self.book.completed += 1
+                self.record.completed += 1
 
 
-class Book:
-    """Counts what happens; knows each task's true size and run time."""
+class RunRecord:
+    """Outcomes of a run, and the true size and run time of each task."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -197,23 +212,23 @@
         self.work_by_second = {}
         self.urgent_at = {}
         self.urgent_ms = []
-        self.keeper_up = {}
+        self.keeper_started_at = {}
 
-    def truth_of(self, command):
-        known = self.truth_by_task.get(command.task_id)
-        if known is None:
+    def draw_truth(self, command):
+        truth = self.truth_by_task.get(command.task_id)
+        if truth is None:
             cores = command.size.cores * math.exp(self.rng.gauss(-0.2, 0.35))
-            work = command.run_ms * math.exp(self.rng.gauss(0, 0.8))
-            known = (cores, min(work, 300_000.0))
-            self.truth_by_task[command.task_id] = known
-        return known
+            work_ms = command.run_ms * math.exp(self.rng.gauss(0, 0.8))
+            truth = (cores, min(work_ms, 300_000.0))
+            self.truth_by_task[command.task_id] = truth
+        return truth
 
     def started(self, command, now):
         job = command.task_id.rpartition(':')[0]
         if job in self.urgent_at and command.attempt == 1:
             self.urgent_ms.append(now - self.urgent_at[job])
         if command.kind == 'keeper':
-            self.keeper_up[command.task_id] = now
+            self.keeper_started_at[command.task_id] = now
 
     def stopped(self, command):
         if command.kind == 'keeper':
@@ -221,7 +236,7 @@
         else:
             self.evictions += 1
 
-    def note_rate(self, now, work, command):
+    def record_work(self, now, work, command):
         second = int(now // 1000)
         self.work_by_second[second] = self.work_by_second.get(second, 0) + work
         if command.service_name.endswith('scan'):
--- a/bench/placement_policies.py
+++ b/bench/placement_policies.py
@@ -1,4 +1,4 @@
-"""Ways of placing that the experiment compares with the product's own."""
+"""Placement policies that the experiment compares with the real planner."""
 
 import math
 
@@ -12,8 +12,8 @@
 LIMIT_FACTOR = math.exp(0.3)
 
 
-class _NoHarm(TemplateSlowdown):
-    """Ranks by room alone."""
+class _CapacityRanking(TemplateSlowdown):
+    """Ranks workers by free capacity alone."""
 
     def predict(self, agent, size):
         return 0.0
@@ -22,8 +22,8 @@
         return self
 
 
-class _FirstHarm(_NoHarm):
-    """Ranks by number, whatever the room."""
+class _FirstFitRanking(_CapacityRanking):
+    """Ranks workers by number, whatever their free capacity."""
 
     def predict(self, agent, size):
         number = int(agent.agent_id.rpartition('-')[2])
@@ -31,31 +31,33 @@
         return 10.0 * number + free_part
 
 
-class _Blind(InterferenceTracker):
-    harm_class = _NoHarm
+class _NoInterferenceTracker(InterferenceTracker):
+    slowdown_class = _CapacityRanking
 
     def template_slowdown(self, service_name, now):
-        return self.harm_class(self, service_name.rpartition('/')[2], now)
+        return self.slowdown_class(self, service_name.rpartition('/')[2], now)
 
 
-class _First(_Blind):
-    harm_class = _FirstHarm
+class _FirstFitTracker(_NoInterferenceTracker):
+    slowdown_class = _FirstFitRanking
 
 
 class _StaticModel(SlowdownModel):
-    """One offline score per template, the same beside every service."""
+    """Predicts from one offline score per template, equal for all services."""
 
     score_by_template: dict = {}
 
     def predict(self, service_name, load, parts):
-        harm = sum(
+        interference = sum(
             self.score_by_template.get(template, 0.3) * part
             for template, part in parts.items()
         )
-        return Prediction(math.log1p(harm), 0.0)
+        return Prediction(math.log1p(interference), 0.0)
 
 
-class _TrueModel(SlowdownModel):
+class _OracleModel(SlowdownModel):
+    """Predicts the exact slowdown of the ground truth."""
+
     truth = None
 
     def predict(self, service_name, load, parts):
@@ -63,51 +65,53 @@
         return Prediction(math.log(factor), 0.0)
 
 
-class _Unlearned(SlowdownModel):
-    """Knows the level, not the pairs: blames whatever is largest."""
+class _ReactiveModel(SlowdownModel):
+    """Predicts from the total load of batch tasks, equal for all pairs."""
 
     def predict(self, service_name, load, parts):
         return Prediction(0.3 * sum(parts.values()), 0.0)
 
 
 def _first_rack(ranking):
-    """Pop the rack of least score, which for first fit is the number."""
-    firsts = [
-        (min(one[1:] + (zone,) for one in racks))
+    """Pop the rack of least score, which for first fit is the worker number."""
+    lowest_racks = [
+        (min(rack[1:] + (zone,) for rack in racks))
         for zone, racks in ranking._racks_by_zone.items()
         if racks
     ]
-    if not firsts:
+    if not lowest_racks:
         return None
-    _, rack, zone = min(firsts)
+    _, rack, zone = min(lowest_racks)
     racks = ranking._racks_by_zone[zone]
-    racks.remove(next(one for one in racks if one[-1] == rack))
+    racks.remove(next(ranked for ranked in racks if ranked[-1] == rack))
     return rack
 
 
 def apply_policy(name, deployment, truth):
-    """Make one entry's planner decide in the named way."""
+    """Install the named policy in the planner of the only entry."""
     planner = deployment.entry().core.planner
     if name == 'learned':
         return
     model = {
         'static': _StaticModel,
-        'all-knowing': _TrueModel,
-        'reactive': _Unlearned,
+        'all-knowing': _OracleModel,
+        'reactive': _ReactiveModel,
     }.get(name, SlowdownModel)()
     if name == 'static':
         services = {service for service, _ in truth.weight_by_pair}
         for (_, template), weight in truth.weight_by_pair.items():
-            known = model.score_by_template.get(template, 0)
-            score = known + weight * 0.6 / len(services)
+            score_so_far = model.score_by_template.get(template, 0)
+            score = score_so_far + weight * 0.6 / len(services)
             model.score_by_template = {
                 **model.score_by_template, template: score
             }  # fmt: skip
     model.truth = truth
-    kind = {
-        'first fit': _First, 'spread': _Blind, 'reactive': _Blind
+    tracker_class = {
+        'first fit': _FirstFitTracker,
+        'spread': _NoInterferenceTracker,
+        'reactive': _NoInterferenceTracker,
     }.get(name, InterferenceTracker)  # fmt: skip
-    interference = kind(model)
+    interference = tracker_class(model)
     planner._interference = interference
     planner._assigner._interference = interference
     planner._mitigation.tail_guard._interference = interference
@@ -123,14 +127,14 @@
 
 
 def throttle_exactly(vm):
-    """The all-knowing bound: at once, as little as keeps the limit."""
-    tasks = [t for t in vm.running() if t.command.kind == 'batch']
+    """Throttle as the oracle: immediately, and no more than the limit needs."""
+    tasks = [task for task in vm.running() if task.command.kind == 'batch']
     for task in tasks:
         task.share = 1.0
     weights = vm.truth.weight_by_pair
     tasks.sort(
-        key=lambda t: (
-            -weights[vm.service, t.command.service_name.rpartition('/')[2]]
+        key=lambda task: (
+            -weights[vm.service, task.command.service_name.rpartition('/')[2]]
         )
     )
     for task in tasks:
@@ -138,11 +142,13 @@
         if factor <= LIMIT_FACTOR:
             return
         template = task.command.service_name.rpartition('/')[2]
-        own = factor - vm.truth.slowdown(
+        own_slowdown = factor - vm.truth.slowdown(
             vm.service,
             {**vm.parts(), template: vm.parts()[template]
              - task.cores / vm.cores},
             vm.load,
         )  # fmt: skip
         excess = factor - LIMIT_FACTOR
-        task.share = max(1 - excess / own, 0.0) if own > 0 else 1.0
+        task.share = (
+            max(1 - excess / own_slowdown, 0.0) if own_slowdown > 0 else 1.0
+        )
--- a/bench/placement_starts.py
+++ b/bench/placement_starts.py
@@ -1,10 +1,10 @@
-"""Task starts per second of processor time.
+"""Benchmark of task starts per second of processor time.
 
 Run ``python -m bench.placement_starts``.
 
-One planner, with a table that answers at once and agents that are not there:
-it places jobs of 1,000 tasks on fleets of several sizes, and the time that
-the entry's own code takes is counted, from ``tick`` to the sent start.
+One planner with a table that answers immediately and without agents places jobs
+of 1,000 tasks on fleets of several sizes. The processor time of the code of the
+entry is measured, from ``tick`` to the sent start.
 """
 
 import json
@@ -33,7 +33,7 @@
 
 
 class InstantStore:
-    """Answers each commit at once."""
+    """Store client that completes each commit immediately."""
 
     def __init__(self):
         self.version = 0
@@ -47,7 +47,7 @@
 
 
 class CountingLinks:
-    """Counts the starts."""
+    """Agent connections that count the sent starts."""
 
     def __init__(self):
         self.starts = 0
@@ -57,11 +57,11 @@
         return True
 
     def drop(self, agent_id):
-        """Not needed."""
+        """Do nothing: the benchmark has no connections."""
 
 
 class OneShard:
-    """Says that shard 0 is held."""
+    """Shard holder that always owns shard 0."""
 
     shards = 1
 
@@ -103,19 +103,19 @@
     planner.attach(holder)
     planner.on_acquired(holder.held_shard)
     plan = planner._plan_by_shard[0]
-    spent = 0.0
+    cpu_s = 0.0
     for number in range(jobs):
         document = {
             'what': 'submit', 'job': f'job-{number}', 'service': 't/feed',
             'kind': 'batch', 'tasks': TASKS,
         }  # fmt: skip
         plan.handle_inbox_row(Row(f'inbox/0000/job-{number}', 1, '', document))
-        before, began = links.starts, time.process_time()
-        while links.starts - before < TASKS:
+        starts_before, started_at = links.starts, time.process_time()
+        while links.starts - starts_before < TASKS:
             clock.advance(20)
             planner.tick()
-        spent += time.process_time() - began
-    return links.starts / spent
+        cpu_s += time.process_time() - started_at
+    return links.starts / cpu_s
 
 
 def main():
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,7 @@
-"""The baselines, and a bound that knows everything, behind the same port.
+"""Baseline routing policies and an oracle bound with the same interface.
 
-Each has the methods of ``hyssopring.routing.BackendSelector``. None of the
-baselines hedges, recalls, ejects or refuses by deadline.
+Each policy has the methods of ``hyssopring.routing.BackendSelector``. The
+baselines never hedge, recall, eject or refuse by deadline.
 """
 
 import math
@@ -13,7 +13,7 @@
     def __init__(self, deployment, rng):
         self.deployment = deployment
         self.rng = rng
-        self._window = _Never()
+        self._window = _NeverHedging()
 
     def latency_window(self, service_name):
         return self._window
@@ -25,31 +25,33 @@
         return BackendChoice(self.pick(routable), 'baseline')
 
     def on_sent(self, view, request_id, now):
-        """Baselines learn nothing."""
+        """Baselines keep no state of calls."""
 
     def on_response(self, record, response, now):
-        """Baselines learn nothing."""
+        """Baselines keep no state of calls."""
 
     def utilization(self, service_name):
         return 1.0
 
     def forget(self, record):
-        """Baselines learn nothing."""
+        """Baselines keep no state of calls."""
 
 
-class _Never(LatencyWindow):
+class _NeverHedging(LatencyWindow):
+    """A latency window whose p95 is never exceeded, so no call is hedged."""
+
     p95_ms = math.inf
 
 
 class RandomChoice(_Baseline):
-    """Any backend."""
+    """Select a backend uniformly at random."""
 
     def pick(self, routable):
         return self.rng.choice(routable)
 
 
 class RoundRobin(_Baseline):
-    """One after the other, from a random start."""
+    """Select backends in order, from a random start."""
 
     def __init__(self, deployment, rng):
         super().__init__(deployment, rng)
@@ -62,7 +64,7 @@
 
 
 class LeastConnections(_Baseline):
-    """Fewest of this entry's own calls in flight; ties at random."""
+    """Select the fewest calls in flight from this entry; ties at random."""
 
     def pick(self, routable):
         return min(
@@ -70,27 +72,27 @@
         )
 
 
-class AllKnowing(_Baseline):
-    """Knows each backend's present calls, speed, health and links.
+class Oracle(_Baseline):
+    """Select by the true load, speed, health and links of each backend.
 
-    It does not know the future, nor how long a call will run.
+    Future events and the run time of a call are unknown to it.
     """
 
     def pick(self, routable):
-        return min(routable, key=self._expected)
+        return min(routable, key=self._expected_latency)
 
-    def _expected(self, view):
+    def _expected_latency(self, view):
         deployment = self.deployment
         agent = deployment.agent_by_name[view.agent.agent_id]
         backend = agent.backend_by_name[view.report.backend_id]
         load = deployment.true_load(agent) + 1
-        service = deployment.service_ms * backend.factor
+        execution_ms = deployment.service_ms * backend.factor
         if backend.is_stalled or deployment.is_silent(agent):
-            service = 1e6
-        wait = service * max(load - backend.slots, 0) / backend.slots
-        near = agent.core.identity.zone in deployment.zones_near(self)
-        network = 0.2 if near else 2 * deployment.site.zone_ms
-        return (service + wait + network, load, self.rng.random())
+            execution_ms = 1e6
+        wait_ms = execution_ms * max(load - backend.slots, 0) / backend.slots
+        is_near = agent.core.identity.zone in deployment.zones_near(self)
+        network_ms = 0.2 if is_near else 2 * deployment.site.zone_ms
+        return (execution_ms + wait_ms + network_ms, load, self.rng.random())
 
 
 POLICIES = {
@@ -98,6 +100,6 @@
     'round-robin': RoundRobin,
     'least-connections': LeastConnections,
     'hyssopring': None,
-    'all-knowing': AllKnowing,
+    'all-knowing': Oracle,
 }
 BASELINES = ('random', 'round-robin', 'least-connections')
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,11 +1,11 @@
-"""How long work waits after an event, in virtual time.
+"""Longest wait of jobs after a fault, in virtual time.
 
-Jobs of two tasks come five times a second, each at some entry that lives; a
-caller that is refused, or not answered for a second, tries again at another
-one. Told is the longest time from a job's first try to its first start, of all
-jobs handed in from the event on. Each event is played with several seeds, which
-decide its moment and the entries that are tried. The stand-ins assert all the
-while that no task runs twice.
+Jobs of two tasks are submitted five times a second, each to a random running
+entry. A caller that is refused, or gets no answer for a second, retries at a
+random entry. The result is the longest time from the first attempt to submit a
+job to its first start, over all jobs submitted from the event on. Each event is
+simulated with several seeds, which determine its time and the entries. The
+stand-ins assert throughout that no task runs twice.
 
     python -m bench.recovery [--seeds N]
 """
@@ -19,22 +19,22 @@
 from standins.jobs.deployment import a_job, settled
 
 WORKERS = 8
-JOB_EACH_S = 0.2
+SUBMIT_INTERVAL_S = 0.2
 TASKS = 2
-BEFORE_S = 5
-# Longer than any wait of the product (docs/design/platform.md).
-AFTER_S = 30
-ANSWER_S = 1
-RETRY_S = 0.3
+WARM_UP_S = 5
+# Longer than any wait of the scheduler (docs/design/platform.md).
+OBSERVATION_S = 30
+RESPONSE_TIMEOUT_S = 1
+RETRY_DELAY_S = 0.3
 STEP_S = 0.05
-# A process is back as soon after its end.
+# Delay from the end of a process to its restart.
 RESTART_S = 1.2
-# Outages of the store, and freezes, lasted so long.
-AWAY_S = 9
+# Duration of store outages and of frozen processes.
+OUTAGE_S = 9
 
 
-class Day:
-    """A deployment under a steady load, and one event."""
+class LoadSimulation:
+    """A deployment under a steady load."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -50,99 +50,108 @@
         return self.deployment.reactor.seconds()
 
     def run(self, seconds):
-        """Let time pass, and hand jobs in."""
+        """Advance the time and submit jobs at a fixed rate."""
         until = self.now + seconds
         while self.now < until:
             while self.next_job_at <= self.now:
-                self.next_job_at += JOB_EACH_S
-                self._hand_in()
+                self.next_job_at += SUBMIT_INTERVAL_S
+                self._submit_next()
             self.deployment.run(STEP_S)
 
-    def later(self, seconds, action, *given):
-        self.deployment.reactor.callLater(seconds, action, *given)
+    def later(self, seconds, action, *arguments):
+        self.deployment.reactor.callLater(seconds, action, *arguments)
 
     def waits_s(self, since):
-        """How long jobs of this time on waited; those that never began too."""
-        begun = {}
+        """Return how long jobs submitted since a time waited, in seconds.
+
+        A job that has not started counts with its wait until now.
+        """
+        started_at_by_job = {}
         for row in self.deployment.book.starts:
-            begun.setdefault(row[2].partition('.')[0], row[0])
+            started_at_by_job.setdefault(row[2].partition('.')[0], row[0])
         return [
-            begun.get(job_id, self.now) - tried_at
+            started_at_by_job.get(job_id, self.now) - tried_at
             for job_id, tried_at in self.tried_at.items()
             if tried_at >= since
         ]
 
-    def _hand_in(self):
+    def _submit_next(self):
         job = a_job(len(self.tried_at) + 1, steps=((TASKS, ()),))
         self.tried_at[job.job_id] = self.now
-        self._try(job)
+        self._submit(job)
 
-    def _try(self, job):
-        living = [
+    def _submit(self, job):
+        alive = [
             name
             for name, entry in self.deployment.entries.items()
             if entry.is_alive
         ]
         outcomes = []
-        if living:
-            entry = self.random.choice(living)
+        if alive:
+            entry = self.random.choice(alive)
             outcomes = self.deployment.submit(job, entry)
-        self.later(RETRY_S, self._look, job, outcomes, self.now)
+        self.later(RETRY_DELAY_S, self._check, job, outcomes, self.now)
 
-    def _look(self, job, outcomes, tried_at):
-        """Try again after a refusal, or where no answer comes."""
+    def _check(self, job, outcomes, tried_at):
+        """Retry after a refusal or a timeout."""
         is_refused = outcomes and outcomes[0].is_err()
-        if is_refused or (not outcomes and self.now - tried_at >= ANSWER_S):
-            self._try(job)
+        if is_refused or (
+            not outcomes and self.now - tried_at >= RESPONSE_TIMEOUT_S
+        ):
+            self._submit(job)
         elif not outcomes:
-            self.later(RETRY_S, self._look, job, outcomes, tried_at)
+            self.later(RETRY_DELAY_S, self._check, job, outcomes, tried_at)
 
 
 def nothing(_day):
-    """No event: what jobs wait for anyway."""
+    """No event: the wait without a fault."""
 
 
-def kill_owner(day):
-    _restart_entry(day, day.deployment.owner)
+def kill_owner(simulation):
+    _restart_entry(simulation, simulation.deployment.owner)
 
 
-def kill_all_entries(day):
-    for name in day.deployment.entries:
-        _restart_entry(day, name)
+def kill_all_entries(simulation):
+    for name in simulation.deployment.entries:
+        _restart_entry(simulation, name)
 
 
-def replace_entries_in_turn(day):
-    for number, name in enumerate(day.deployment.entries):
-        day.later(number * 2, _stop_entry, day, name)
+def replace_entries_in_turn(simulation):
+    for number, name in enumerate(simulation.deployment.entries):
+        simulation.later(number * 2, _stop_entry, simulation, name)
 
 
-def kill_all_agents(day):
-    for name, agent in list(day.deployment.agents.items()):
-        day.deployment.kill_agent(name)
-        day.later(RESTART_S, day.deployment.start_agent, name, agent.worker)
+def kill_all_agents(simulation):
+    for name, agent in list(simulation.deployment.agents.items()):
+        simulation.deployment.kill_agent(name)
+        simulation.later(
+            RESTART_S, simulation.deployment.start_agent, name, agent.worker
+        )
 
 
-def lose_all_power(day):
-    for worker in day.deployment.workers:
+def lose_all_power(simulation):
+    for worker in simulation.deployment.workers:
         worker.crash()
-    kill_all_agents(day)
-    kill_all_entries(day)
+    kill_all_agents(simulation)
+    kill_all_entries(simulation)
 
 
-def lose_the_store(day):
-    day.deployment.rows.is_silent = True
-    day.later(AWAY_S, setattr, day.deployment.rows, 'is_silent', False)
+def lose_the_store(simulation):
+    simulation.deployment.rows.is_silent = True
+    simulation.later(
+        OUTAGE_S, setattr, simulation.deployment.rows, 'is_silent', False
+    )
 
 
-def turn_the_owner_away(day):
-    name = day.deployment.owner
-    day.deployment.rows.shunned.add(name)
-    day.later(AWAY_S, day.deployment.rows.shunned.discard, name)
+def turn_the_owner_away(simulation):
+    name = simulation.deployment.owner
+    simulation.deployment.rows.shunned.add(name)
+    simulation.later(OUTAGE_S, simulation.deployment.rows.shunned.discard, name)
 
 
-def freeze_owner(day):
-    owner = day.deployment.entries[day.deployment.owner]
-    owner.thaws_at = day.now + AWAY_S
+def freeze_owner(simulation):
+    owner = simulation.deployment.entries[simulation.deployment.owner]
+    owner.thaws_at = simulation.now + OUTAGE_S
 
 
 EVENTS = (
@@ -158,26 +167,26 @@
 )
 
 
-def _restart_entry(day, name):
-    day.deployment.kill_entry(name)
-    day.later(RESTART_S, day.deployment.start_entry, name)
+def _restart_entry(simulation, name):
+    simulation.deployment.kill_entry(name)
+    simulation.later(RESTART_S, simulation.deployment.start_entry, name)
 
 
-def _stop_entry(day, name):
-    day.deployment.entries[name].core.release()
-    day.later(STEP_S, _restart_entry, day, name)
+def _stop_entry(simulation, name):
+    simulation.deployment.entries[name].core.release()
+    simulation.later(STEP_S, _restart_entry, simulation, name)
 
 
 def longest_wait_s(event, seed):
-    """Play an event; return the longest wait for a first start after it."""
-    day = Day(seed)
-    day.run(BEFORE_S + day.random.uniform(0, 1))
-    event_at = day.now
-    event(day)
-    day.run(AFTER_S)
-    # Those that come at the very end have not begun yet.
-    waits = day.waits_s(event_at)
-    return max(waits[: -int(1 / JOB_EACH_S)])
+    """Simulate an event; return the longest wait for a first start after it."""
+    simulation = LoadSimulation(seed)
+    simulation.run(WARM_UP_S + simulation.random.uniform(0, 1))
+    event_at = simulation.now
+    event(simulation)
+    simulation.run(OBSERVATION_S)
+    # Jobs submitted at the very end have not started yet.
+    waits_s = simulation.waits_s(event_at)
+    return max(waits_s[: -int(1 / SUBMIT_INTERVAL_S)])
 
 
 def main():
@@ -187,10 +196,10 @@
     parser.add_argument('--seeds', type=int, default=9, help='of each event')
     seeds = range(parser.parse_args().seeds)
     for event in EVENTS:
-        took = [longest_wait_s(event, seed) for seed in seeds]
+        waits_s = [longest_wait_s(event, seed) for seed in seeds]
         print(
-            f'{event.__name__:24} median {statistics.median(took):5.2f} s, '
-            f'longest {max(took):5.2f} s',
+            f'{event.__name__:24} median {statistics.median(waits_s):5.2f} s, '
+            f'longest {max(waits_s):5.2f} s',
             flush=True,
         )
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,7 +1,8 @@
-"""Measures the request decisions: ``python -m bench.routing``.
+"""Benchmark of request routing: ``python -m bench.routing``.
 
-Prints a table for each site and scenario, every policy in the same run of
-seeds, and writes it to a file and plots with ``--write``.
+Prints a table for each site and scenario, with all policies under the same
+seeds. ``--write`` stores the figures of each run as JSON, ``--plots`` draws
+them.
 """
 
 import argparse
@@ -28,6 +29,8 @@
 
 @dataclass(frozen=True)
 class Run:
+    """The parameters of one experiment."""
+
     site: str
     scenario: str
     policy: str
@@ -53,18 +56,18 @@
     sends = deployment.sends_of(site.service) - sends
     load.is_on = False
     deployment.run(4000)
-    sums = load.figures(start, end)
-    sent = sums.asked - sums.refused
+    totals = load.figures(start, end)
+    sent = totals.asked - totals.refused
     return {
-        'p50': sums.quantile(0.5),
-        'p99': sums.quantile(0.99),
-        'p999': sums.quantile(0.999),
-        'refused': sums.refused / sums.asked,
-        'late': sums.late / sums.asked,
-        'unknown': sums.unknown / sums.asked,
+        'p50': totals.quantile(0.5),
+        'p99': totals.quantile(0.99),
+        'p999': totals.quantile(0.999),
+        'refused': totals.refused / totals.asked,
+        'late': totals.late / totals.asked,
+        'unknown': totals.unknown / totals.asked,
         'extra': max(sends / max(sent, 1) - 1, 0),
-        'goodput': sums.goodput,
-        'asked': sums.asked,
+        'goodput': totals.goodput,
+        'asked': totals.asked,
     }
 
 
@@ -86,11 +89,11 @@
         for row in pool.map(measure, runs):
             figures.append(row)
             print(runs[len(figures) - 1], row, file=sys.stderr, flush=True)
-    found = {}
+    rows_by_run = {}
     for run, row in zip(runs, figures):
         key = (run.site, run.scenario, run.policy)
-        found.setdefault(key, []).append(row)
-    lines = report(found, arguments)
+        rows_by_run.setdefault(key, []).append(row)
+    lines = report(rows_by_run, arguments)
     print('\n'.join(lines))
     if arguments.write:
         with open(arguments.write, 'w') as file:
@@ -100,18 +103,20 @@
     if arguments.plots:
         from bench.plots import plot
 
-        plot(found, arguments.plots)
+        plot(rows_by_run, arguments.plots)
 
 
-def report(found, arguments):
+def report(rows_by_run, arguments):
     lines = []
     for site in arguments.sites:
         for scenario in arguments.scenarios:
-            lines.extend(section(found, site, scenario, arguments.policies))
+            lines.extend(
+                section(rows_by_run, site, scenario, arguments.policies)
+            )
     return lines
 
 
-def section(found, site, scenario, policies):
+def section(rows_by_run, site, scenario, policies):
     lines = [
         '',
         f'{site}, {scenario}',
@@ -121,37 +126,37 @@
         '|---|---|---|---|---|---|---|---|---|',
     ]
     for policy in policies:
-        rows = found[(site, scenario, policy)]
-        middle = {
+        rows = rows_by_run[(site, scenario, policy)]
+        medians = {
             name: statistics.median(row[name] for row in rows)
             for name in COLUMNS
         }
         tails = [row['p999'] for row in rows]
         lines.append(
-            f'| {policy} | {middle["p50"]:.1f} | {middle["p99"]:.0f} '
-            f'| {middle["p999"]:.0f} ({min(tails):.0f}-{max(tails):.0f}) '
-            f'| {middle["refused"] * 100:.2f} | {middle["late"] * 100:.3f} '
-            f'| {middle["unknown"] * 100:.3f} | {middle["extra"] * 100:.1f} '
-            f'| {middle["goodput"]:.0f} |'
+            f'| {policy} | {medians["p50"]:.1f} | {medians["p99"]:.0f} '
+            f'| {medians["p999"]:.0f} ({min(tails):.0f}-{max(tails):.0f}) '
+            f'| {medians["refused"] * 100:.2f} | {medians["late"] * 100:.3f} '
+            f'| {medians["unknown"] * 100:.3f} | {medians["extra"] * 100:.1f} '
+            f'| {medians["goodput"]:.0f} |'
         )
-    ratio = tail_ratio(found, site, scenario)
+    ratio = tail_ratio(rows_by_run, site, scenario)
     if not math.isnan(ratio):
         lines.append('')
         lines.append(f'p99.9 against the best baseline: {ratio:.2f}')
     return lines
 
 
-def tail_ratio(found, site, scenario):
-    """Median p99.9 of the product against the best baseline's."""
+def tail_ratio(rows_by_run, site, scenario):
+    """Return the median p99.9 as a ratio to that of the best baseline."""
     tails = {}
     for policy in POLICIES:
-        rows = found.get((site, scenario, policy))
+        rows = rows_by_run.get((site, scenario, policy))
         if rows:
             tails[policy] = statistics.median(row['p999'] for row in rows)
-    known = [tails[policy] for policy in BASELINES if policy in tails]
-    if 'hyssopring' not in tails or not known:
+    baseline_tails = [tails[policy] for policy in BASELINES if policy in tails]
+    if 'hyssopring' not in tails or not baseline_tails:
         return math.nan
-    return tails['hyssopring'] / min(known)
+    return tails['hyssopring'] / min(baseline_tails)
 
 
 def parse():
--- a/bench/routing_backend.py
+++ b/bench/routing_backend.py
@@ -6,15 +6,15 @@
 from bench.routing_sites import SERVICE_MS, SLOTS
 from standins.virtual import VirtualBackend
 
-# Service time = one request's own work x what this execution meets; a small
-# share of executions pauses besides.
+# Service time = the work of a request x a random factor of its execution. A
+# small share of executions also pauses.
 EXECUTION_SIGMA = 0.5
 PAUSE_SHARE = 0.005
 PAUSE_MS = (100.0, 400.0)
 
 
 class BenchBackend(VirtualBackend):
-    """A backend whose executions can be slowed or stall."""
+    """A backend whose executions can be slow or stall."""
 
     def __init__(self, loop, name, service_name, rng):
         super().__init__(loop, name, service_name, SLOTS)
@@ -31,17 +31,17 @@
             )
             self.loop.later(timeout_ms, done, failed)
             return
-        took = float(request.path) * self.factor * self._execution()
-        answer = CallResponse(
+        execution_ms = float(request.path) * self.factor * self._execution()
+        response = CallResponse(
             request.request_id, CallOutcome.ANSWERED.value, 200
         )
-        if took > timeout_ms:
-            answer = CallResponse(
+        if execution_ms > timeout_ms:
+            response = CallResponse(
                 request.request_id,
                 CallOutcome.FAILED.value,
                 error=ErrorKind.BACKEND_FAILED.value,
             )
-        self.loop.later(min(took, timeout_ms), done, answer)
+        self.loop.later(min(execution_ms, timeout_ms), done, response)
 
     def _execution(self):
         sigma = EXECUTION_SIGMA
--- a/bench/routing_deployment.py
+++ b/bench/routing_deployment.py
@@ -1,7 +1,7 @@
-"""A site's entries and agents in the routing experiments.
+"""Entries and agents of a site in the routing experiments.
 
-The real cores under a virtual clock (``standins.virtual``). All numbers come
-from one seed.
+The real cores run under a virtual clock (``standins.virtual``). All random
+numbers are drawn from one seed.
 """
 
 import json
@@ -19,10 +19,9 @@
 
 
 class Deployment(VirtualDeployment):
-    """A site's entries and agents, with counted sends.
+    """Entries and agents of a site, with counted sends.
 
-    ``policy`` is a baseline of ``bench.policies``, None for the product's
-    own decisions.
+    ``policy`` is a class of ``bench.policies``, or None for the real router.
     """
 
     service_ms = SERVICE_MS
@@ -33,7 +32,7 @@
         self.sends = Counter()
         self.loads = []
         self.drained = set()
-        self.travelling = Counter()
+        self.in_transit_by_agent = Counter()
         super().__init__(entries, AGENTS, site.zones, site.capacity, seed=seed)
         self.backends = []
         for number, agent in enumerate(self.agent_by_name.values()):
@@ -44,7 +43,7 @@
             self.backends.append(backend)
             agent.add_backend(backend)
         for entry in self.entry_by_name.values():
-            self._equip(entry)
+            self._instrument(entry)
         self.run(1500)
         self._configure()
 
@@ -58,7 +57,9 @@
 
     def true_load(self, agent):
         load = agent.core.backends.load(self.site.service)
-        return load.in_flight + load.queued + self.travelling[agent.name]
+        return (
+            load.in_flight + load.queued + self.in_transit_by_agent[agent.name]
+        )
 
     def is_silent(self, agent):
         return any(link.is_silent for link in agent.link_by_entry.values())
@@ -67,18 +68,18 @@
         return (policy.zone,)
 
     def drain(self, number):
-        """The balancer takes an entry out, and it is told to stop."""
+        """Take an entry out of the load balancer and stop it."""
         self.drained.add(number)
         self.entry(number).core.stop()
 
     def replace(self, number):
         self.kill_entry(number)
         entry = self.restart_entry(number)
-        self._equip(entry)
+        self._instrument(entry)
         self.loop.later(800, self.drained.discard, number)
 
     def add_flood(self, share, seed):
-        """Another team's backends on the same VMs, far beyond capacity."""
+        """Overload backends of another team on the same VMs."""
         service = f'{FLOOD_TEAM}/{self.site.template}'
         for number, agent in enumerate(self.agent_by_name.values()):
             rng = random.Random(f'{seed}-flood-{number}')
@@ -90,16 +91,16 @@
         self.run(3000)
         return Load(self, rate_at(share), seed, service)
 
-    def _equip(self, entry):
+    def _instrument(self, entry):
         send = entry.send
 
-        def counted(agent_id, message):
+        def counted_send(agent_id, message):
             if isinstance(message, CallRequest):
                 self.sends[message.service_name] += 1
-                self._travel(agent_id, entry)
+                self._start_transit(agent_id, entry)
             return send(agent_id, message)
 
-        entry.send = counted
+        entry.send = counted_send
         if self.policy is not None:
             rng = random.Random(f'{self.seed}-{entry.name}-policy')
             policy = self.policy(self, rng)
@@ -107,13 +108,15 @@
             entry.core.router.sender.selector = policy
             entry.core.router._hedges._selector = policy
 
-    def _travel(self, agent_id, entry):
+    def _start_transit(self, agent_id, entry):
         agent = self.agent_by_name[agent_id]
-        self.travelling[agent_id] += 1
-        self.loop.later(self.network_ms(entry, agent), self._land, agent_id)
+        self.in_transit_by_agent[agent_id] += 1
+        self.loop.later(
+            self.network_ms(entry, agent), self._end_transit, agent_id
+        )
 
-    def _land(self, agent_id):
-        self.travelling[agent_id] -= 1
+    def _end_transit(self, agent_id):
+        self.in_transit_by_agent[agent_id] -= 1
 
     def _configure(self):
         template = {
--- a/bench/routing_load.py
+++ b/bench/routing_load.py
@@ -1,6 +1,6 @@
-"""The callers of the routing experiments, and what they see.
+"""Callers of the routing experiments and the outcomes of their calls.
 
-Arrivals are open-loop: a slow answer delays no later call.
+Arrivals are open-loop: a slow answer does not delay later calls.
 """
 
 import math
@@ -11,13 +11,13 @@
 from bench.routing_sites import AGENTS, DEADLINE_MS, SERVICE_MS, SLOTS
 
 CLIENT_MS = 3.0
-# One request's own work, see ``bench.routing_backend``.
+# Spread of the work of a request, see ``bench.routing_backend``.
 WORK_SIGMA = 0.8
 
 
 @dataclass
-class Asked:
-    """One call, and what its caller saw."""
+class CallRecord:
+    """One call and the outcome that its caller received."""
 
     started_at: float
     deadline: float
@@ -28,7 +28,7 @@
 
 @dataclass
 class Figures:
-    """What one run measured."""
+    """Totals of one run."""
 
     latencies: list = field(default_factory=list)
     answered: int = 0
@@ -55,26 +55,26 @@
         self.service = service or deployment.site.service
         self.rate_per_s = rate_per_s
         self.rng = random.Random(f'{seed}-{self.service}')
-        self.asked_by_id = {}
+        self.call_by_id = {}
         self.is_on = True
         self.factor = 1.0
         self._patch_callers()
-        self._shift()
+        self._shift_rate()
         self._arrive()
 
-    def _shift(self):
+    def _shift_rate(self):
         self.factor = self.rng.uniform(0.8, 1.2)
         if self.is_on:
             self.deployment.loop.later(
-                self.rng.expovariate(1 / 1500), self._shift
+                self.rng.expovariate(1 / 1500), self._shift_rate
             )
 
     def _arrive(self):
         if not self.is_on:
             return
         self._call()
-        gap = self.rng.expovariate(self.rate_per_s * self.factor / 1000)
-        self.deployment.loop.later(gap, self._arrive)
+        gap_ms = self.rng.expovariate(self.rate_per_s * self.factor / 1000)
+        self.deployment.loop.later(gap_ms, self._arrive)
 
     def _call(self):
         deployment = self.deployment
@@ -90,67 +90,67 @@
         request_id = deployment.call(
             entry, self.service, f'{work:.3f}', budget_ms=DEADLINE_MS
         )
-        self.asked_by_id[request_id] = Asked(now, now + DEADLINE_MS, '')
+        self.call_by_id[request_id] = CallRecord(now, now + DEADLINE_MS, '')
         answer = deployment.entry(entry).callers.answer_by_id.get(request_id)
         if answer is not None:
-            self.take(request_id, answer)
+            self.record_answer(request_id, answer)
 
-    def take(self, request_id, answer):
-        asked = self.asked_by_id.get(request_id)
-        if asked is None or asked.kind:
+    def record_answer(self, request_id, answer):
+        call = self.call_by_id.get(request_id)
+        if call is None or call.kind:
             return
-        asked.took = self.deployment.loop.now - asked.started_at
+        call.took = self.deployment.loop.now - call.started_at
         failure = answer.failure
-        asked.kind = failure.kind.value if failure else 'answered'
+        call.kind = failure.kind.value if failure else 'answered'
         if failure and failure.answer.run_state is RunState.NOT_RUN:
-            asked.kind = 'refused'
+            call.kind = 'refused'
             if failure.kind is ErrorKind.DEADLINE:
-                asked.kind = 'late'
+                call.kind = 'late'
 
     def _patch_callers(self):
         for entry in self.deployment.entry_by_name.values():
-            watch(entry.callers, self)
+            observe_answers(entry.callers, self)
 
     def figures(self, since, until):
-        """Sum up the calls that began within a time.
+        """Sum up the calls that started from `since` to `until`, in ms.
 
-        A call without its answer in time counts in the percentiles with its
-        whole deadline; refused ones, answered at once, do not count there.
+        A call without an answer in time counts in the percentiles with its
+        full deadline. Refused calls are excluded from the percentiles.
         """
-        sums = Figures()
-        chosen = [
-            asked
-            for asked in self.asked_by_id.values()
-            if since <= asked.started_at < until
+        totals = Figures()
+        calls = [
+            call
+            for call in self.call_by_id.values()
+            if since <= call.started_at < until
         ]
-        sums.asked = len(chosen)
-        for asked in chosen:
-            if asked.kind == 'refused':
-                sums.refused += 1
+        totals.asked = len(calls)
+        for call in calls:
+            if call.kind == 'refused':
+                totals.refused += 1
                 continue
-            if asked.kind == 'answered':
-                sums.answered += 1
-                sums.latencies.append(asked.took + 2 * CLIENT_MS)
+            if call.kind == 'answered':
+                totals.answered += 1
+                totals.latencies.append(call.took + 2 * CLIENT_MS)
                 continue
-            if asked.kind == 'late' or not asked.kind:
-                sums.late += 1
+            if call.kind == 'late' or not call.kind:
+                totals.late += 1
             else:
-                sums.unknown += 1
-            sums.latencies.append(DEADLINE_MS + 2 * CLIENT_MS)
-        sums.latencies.sort()
-        sums.goodput = sums.answered * 1000 / (until - since)
-        return sums
+                totals.unknown += 1
+            totals.latencies.append(DEADLINE_MS + 2 * CLIENT_MS)
+        totals.latencies.sort()
+        totals.goodput = totals.answered * 1000 / (until - since)
+        return totals
 
 
-def watch(callers, load):
-    """Let a load see each answer at its time."""
+def observe_answers(callers, load):
+    """Pass each answer to a load when it arrives."""
     answer = callers.answer
 
-    def watched(request_id, what):
-        answer(request_id, what)
-        load.take(request_id, what)
+    def observed_answer(request_id, outcome):
+        answer(request_id, outcome)
+        load.record_answer(request_id, outcome)
 
-    callers.answer = watched
+    callers.answer = observed_answer
 
 
 def rate_at(share):
--- a/bench/routing_sites.py
+++ b/bench/routing_sites.py
@@ -1,4 +1,4 @@
-"""The two users' deployments, as the routing experiments see them."""
+"""Deployments of the two users, as modelled by the routing experiments."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """One of the two users' deployments."""
+    """The deployment of a user."""
 
     name: str
     team: str
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""The faults and loads of the request experiments."""
+"""Faults and loads of the routing experiments."""
 
 from dataclasses import dataclass
 from typing import Callable
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A load as a share of all slots, and a fault that begins it."""
+    """A load as a share of all slots, and the fault injected into it."""
 
     name: str
     share: float
@@ -22,38 +22,38 @@
 
 
 def slow(deployment):
-    """One backend answers eight times slower for the rest of the run."""
+    """One backend is eight times slower for the rest of the run."""
     deployment.loop.later(1000, _set_factor, deployment.backends[4], 8.0)
 
 
 def silent(deployment):
-    """All connections of one agent go silent for good, three times.
+    """All open connections of three agents go silent for good, in sequence.
 
-    New connections work; the old ones are given up by their pings.
+    New connections work; the silent ones are closed after missed pings.
     """
     for number in (1, 5, 9):
         deployment.loop.later(1000 + 350 * number, _silence, deployment, number)
 
 
 def stalled(deployment):
-    """One backend takes calls and never answers, for 6 s."""
+    """One backend accepts calls without answering them for 6 s."""
     backend = deployment.backends[4]
     deployment.loop.later(1000, _set_stalled, backend, True)
     deployment.loop.later(7000, _set_stalled, backend, False)
 
 
 def noisy(deployment):
-    """By turns, three VMs run five times slower for 1.5 s."""
-    for turn in range(7):
+    """Three VMs at a time, in rotation, run five times slower for 1.5 s."""
+    for round_index in range(7):
         for number in range(3):
-            backend = deployment.backends[(turn * 3 + number) % 11]
-            at = turn * 1500
+            backend = deployment.backends[(round_index * 3 + number) % 11]
+            at = round_index * 1500
             deployment.loop.later(at, _set_factor, backend, 5.0)
             deployment.loop.later(at + 1499, _set_factor, backend, 1.0)
 
 
 def zone(deployment):
-    """A third of the agents vanish at 3 s and are back at 7 s."""
+    """The agents of one zone crash at 3 s and restart at 7 s."""
     lost = deployment.site.zones[2]
     numbers = [
         number
@@ -65,9 +65,9 @@
 
 
 def entries(deployment):
-    """Each entry is stopped and replaced, one after the other.
+    """Stop and replace each entry in sequence.
 
-    The balancer takes an entry out first; it goes when it has no calls.
+    The load balancer removes an entry first; it exits once it has no calls.
     """
     for number in range(len(deployment.entry_by_name)):
         at = 1000 + number * 2500
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Grows one thing at a time and prints what each unit costs.
+"""Measure the cost of each unit of load, growing one dimension at a time.
 
 ``python -m bench.slopes [--quick] [--only PREFIX] [--out FILE]``. Daemons run
 as processes over loopback with emulated peers; cores run with the table in
@@ -33,35 +33,35 @@
     parser.add_argument('--quick', action='store_true')
     parser.add_argument('--only', default='', metavar='PREFIX')
     parser.add_argument('--out', type=pathlib.Path)
-    asked = parser.parse_args()
-    window_s, settle_s = (1.0, 1.5) if asked.quick else (4.5, 2.5)
-    daemons = Daemons(window_s, settle_s, asked.quick)
-    record = begin(asked.out)
-    for points in itertools.chain(
-        slopes_cores.run(asked.only, asked.quick),
-        daemons.run(asked.only),
+    arguments = parser.parse_args()
+    window_s, settle_s = (1.0, 1.5) if arguments.quick else (4.5, 2.5)
+    daemons = Daemons(window_s, settle_s, arguments.quick)
+    record = start_record(arguments.out)
+    for points_by_name in itertools.chain(
+        slopes_cores.run(arguments.only, arguments.quick),
+        daemons.run(arguments.only),
     ):
-        for name, each in points.items():
-            slope = {'run': len(record['runs']) - 1, **slope_record(each)}
+        for name, points in points_by_name.items():
+            slope = {'run': len(record['runs']) - 1, **slope_record(points)}
             record['slopes'][name] = slope
             show(name, slope)
-        if asked.out:
+        if arguments.out:
             text = json.dumps(record, indent=1, sort_keys=True)
-            asked.out.write_text(f'{text}\n')
+            arguments.out.write_text(f'{text}\n')
 
 
-def begin(path):
-    """What a file keeps of earlier runs, and this run."""
+def start_record(path):
+    """Return the record of a file's earlier runs with this run added."""
     run = {
         'date': datetime.date.today().isoformat(),
         'command': ' '.join(['python -m bench.slopes', *sys.argv[1:]]),
         'machine': f'one shared machine, {os.cpu_count()} cores',
         'python': sys.version.split()[0],
     }
-    kept = json.loads(path.read_text()) if path and path.exists() else {}
+    earlier = json.loads(path.read_text()) if path and path.exists() else {}
     return {
-        'runs': [*kept.get('runs', []), run],
-        'slopes': kept.get('slopes', {}),
+        'runs': [*earlier.get('runs', []), run],
+        'slopes': earlier.get('slopes', {}),
     }
 
 
--- a/bench/slopes_cores.py
+++ b/bench/slopes_cores.py
@@ -45,18 +45,18 @@
         return int(statm.read().split()[1]) * resource.getpagesize() / 1000
 
 
-def cost_ms(action, least_ms=150.0):
-    """Processor milliseconds of one call, over enough calls to tell."""
+def cost_ms(action, min_total_ms=150.0):
+    """Return processor milliseconds of one call, averaged over many."""
     action()
     calls, start = 0, cpu_ms()
-    while cpu_ms() - start < least_ms:
+    while cpu_ms() - start < min_total_ms:
         action()
         calls += 1
     return (cpu_ms() - start) / calls
 
 
 class MemoryStore:
-    """The stand-in table, answering at once and counting."""
+    """Store client that calls the stand-in table directly and counts."""
 
     def __init__(self):
         self.table = Table()
@@ -89,8 +89,8 @@
         done(Ok([Row(*fields) for fields in rows]))
 
 
-class Holder:
-    """Holds one shard for good."""
+class FixedShard:
+    """Shard holder that always owns shard 0."""
 
     shards = 1
 
@@ -105,13 +105,13 @@
 
 
 class PlannerBench:
-    """One planner with agents that answer each start at once."""
+    """One planner with agents that answer every start immediately."""
 
     def __init__(self, agents, tasks_each=0):
         self.clock = ManualClock(1_000_000)
         self.store = MemoryStore()
         self.fleet = Fleet()
-        self.configuration = configuration(1, 1)
+        self.configuration = build_configuration(1, 1)
         self.bytes = 0
         self.starts = 0
         self.store.table.commit('shard', [], [['shards/0000', {}]])
@@ -126,7 +126,7 @@
                 LeaseTimes(),
             ),
         )
-        holder = Holder()
+        holder = FixedShard()
         self.planner.attach(holder)
         for number in range(agents):
             self.fleet.connect(
@@ -171,7 +171,7 @@
         self.plan.accept_job(job, 'team-0/template-0', TaskKind.BATCH, tasks)
 
 
-def configuration(teams, templates):
+def build_configuration(teams, templates):
     state = ConfigurationState()
     items = []
     for number in range(templates):
@@ -196,7 +196,7 @@
 
 
 def planner_tick(tasks):
-    """A tick with nothing to do, of a planner with running tasks."""
+    """Measure an idle tick of a planner with running tasks."""
     bench = PlannerBench(agents=20)
     before = resident_kb()
     for first in range(0, tasks, 1000):
@@ -211,7 +211,7 @@
 
 
 def planner_starts(tasks, agents=20):
-    """From a job's tasks waiting to all of them confirmed."""
+    """Measure the start of all tasks of a job, until all are confirmed."""
     bench = PlannerBench(agents)
     bench.submit('job', tasks)
     start = cpu_ms()
@@ -226,7 +226,7 @@
 
 
 def change_cost(items):
-    """One operator's change: validated, committed, read back, applied."""
+    """Measure a change that is validated, committed, read back and applied."""
     store = MemoryStore()
     state = ConfigurationState()
     keeper = ConfigurationKeeper(state, store, lambda update: None)
@@ -271,13 +271,13 @@
 
 def configuration_memory(teams):
     before = resident_kb()
-    state = configuration(teams, 20)
+    state = build_configuration(teams, 20)
     list(state.policies())
     return {'memory': resident_kb() - before}
 
 
 def store_client(commits_per_s):
-    """The client over a socket: commits of one row, processor time of it."""
+    """Measure processor time of commits of one row over a socket."""
     from twisted.internet import reactor
     from twisted.internet.task import LoopingCall
 
@@ -304,33 +304,35 @@
     return {'cpu': (marks[1] - marks[0]) / seconds}
 
 
-def directory_turn(entries):
-    """An agent's look at whom to dial and leave, with all as wanted."""
+def directory_tick(entries):
+    """Measure an agent's check of whom to dial or leave, without a change."""
     clock = ManualClock(1_000_000)
     directory = EntryDirectory(
         clock, 'agent-0001', ['10.0.0.1:7001'], random.Random(1)
     )
     members = tuple(
-        m.EntryMember(f'entry-{each:03}', f'10.1.{each}.1:7001', f'z{each % 7}')
-        for each in range(entries)
+        m.EntryMember(
+            f'entry-{index:03}', f'10.1.{index}.1:7001', f'z{index % 7}'
+        )
+        for index in range(entries)
     )
     directory.opened('10.0.0.1:7001', members[0].entry_id)
     directory.learn(members[0].entry_id, members, ())
     for address in directory.due():
-        member = next(each for each in members if each.address == address)
+        member = next(known for known in members if known.address == address)
         directory.opened(address, member.entry_id)
         directory.learn(member.entry_id, members, ())
 
-    def turn():
+    def tick():
         clock.advance(100)
         directory.due()
         directory.surplus()
 
-    return {'cpu': cost_ms(turn)}
+    return {'cpu': cost_ms(tick)}
 
 
 def messages_bytes(count):
-    """Frames, with their length prefix, by how many parts they carry."""
+    """Return the size of frames with a length prefix, by number of parts."""
 
     usage = m.TaskUsage(
         'hemeroteca/ocr',
@@ -375,13 +377,13 @@
     'configuration.items': (change_cost, (100, 200, 400, 800)),
     'configuration.teams': (configuration_memory, (50, 100, 200, 400)),
     'store.commits': (store_client, (0, 20, 40, 80)),
-    'directory.entries': (directory_turn, (50, 100, 200, 400)),
+    'directory.entries': (directory_tick, (50, 100, 200, 400)),
     'message.parts': (messages_bytes, (0, 1, 8, 32)),
 }
 
 
 def run(prefix, is_quick):
-    """Each size in a process of its own, so that memory starts clean."""
+    """Measure each size in its own process, so that memory starts clean."""
     for name, (_, sizes) in CORES.items():
         points = {}
         for size in sizes if name.startswith(prefix) else ():
--- a/bench/slopes_daemons.py
+++ b/bench/slopes_daemons.py
@@ -21,7 +21,13 @@
 
 
 class Daemons:
-    """Experiments on one entry or one agent with emulated peers."""
+    """Experiments on one entry or one agent with emulated peers.
+
+    Attributes:
+        window_s: How long the use of resources is measured.
+        settle_s: Delay before the measurement.
+        is_quick: Whether sizes are cut to a third.
+    """
 
     def __init__(self, window_s, settle_s, is_quick):
         self.window_s = window_s
@@ -32,7 +38,7 @@
         return [size // 3 for size in full] if self.is_quick else full
 
     def experiments(self):
-        """What to grow, the sizes, how to measure one, and what of it."""
+        """Return sizes, measuring function and metrics by experiment name."""
         starts = ('cpu', 'sent', 'received', 'commits')
         table = (*METRICS, 'commits', 'reads')
         return {
@@ -43,7 +49,7 @@
             ),
             'entry.backends': (
                 (0, 4, 8, 16, 24),
-                lambda each: self.entry(agents=40, backends=each),
+                lambda backends: self.entry(agents=40, backends=backends),
                 METRICS,
             ),
             'entry.requests': (
@@ -105,15 +111,21 @@
             node.configure()
             if agents:
                 processes.spawn(
-                    'bench.peers', 'agents', node.inner, agents, backends
+                    'bench.peers',
+                    'agents',
+                    node.inner_address,
+                    agents,
+                    backends,
                 )
             time.sleep(self.settle_s + agents * 0.003)
-            seen = node.scrape()['inner_connections']
-            assert seen == agents, f'{seen} agents connected, not {agents}'
+            connected = node.scrape()['inner_connections']
+            assert connected == agents, (
+                f'{connected} agents connected, not {agents}'
+            )
             job = {'job_id': 'j', 'team': 'trust', 'template': 'feed'}
             if tasks:
                 node.operate('POST', 'jobs', {**job, 'tasks': tasks})
-            with Callers(node.callers, rate):
+            with Callers(node.caller_address, rate):
                 figures = node.measure(self.window_s)
             if not tasks:
                 return figures
@@ -122,20 +134,22 @@
             return figures
 
     def operator(self, agents):
-        """One ``status`` command, the whole process."""
+        """Measure the process of one ``status`` command."""
         with Processes() as processes:
             table = free_address()
             processes.spawn('standins.table', table)
             time.sleep(0.7)
             node = processes.entry(table)
             if agents:
-                processes.spawn('bench.peers', 'agents', node.inner, agents, 1)
+                processes.spawn(
+                    'bench.peers', 'agents', node.inner_address, agents, 1
+                )
             time.sleep(self.settle_s)
             command = processes.spawn(
                 'hyssopring',
                 'status',
                 '--entry',
-                node.scraped,
+                node.http_address,
                 '--token',
                 TOKEN,
             )
@@ -153,7 +167,7 @@
             processes.spawn('standins.worker', worker)
             addresses = [free_address() for _ in range(max(entries, 1))]
             if entries:
-                ports = ','.join(each.split(':')[1] for each in addresses)
+                ports = ','.join(address.split(':')[1] for address in addresses)
                 processes.spawn(
                     'bench.peers', 'entries', ports, tasks, rate, starts
                 )
@@ -163,45 +177,47 @@
                 processes.spawn(
                     'standins.backend',
                     free_address(),
-                    node.scraped,
+                    node.http_address,
                     f'trust/service-{number}' if number else 'trust/booking',
                 )
             time.sleep(self.settle_s)
-            seen = node.scrape()['inner_connections']
-            assert seen == entries, f'{seen} entries connected, not {entries}'
-            run = node.scrape()['tasks_running']
-            assert run >= tasks, f'{run} tasks run, not {tasks}'
-            assert bool(starts) <= bool(run), 'no short task was started'
+            connected = node.scrape()['inner_connections']
+            assert connected == entries, (
+                f'{connected} entries connected, not {entries}'
+            )
+            running = node.scrape()['tasks_running']
+            assert running >= tasks, f'{running} tasks run, not {tasks}'
+            assert bool(starts) <= bool(running), 'no short task was started'
             return node.measure(self.window_s)
 
 
 class Callers:
-    """Callers at a steady rate on kept connections."""
+    """Threads that send calls at a steady rate on persistent connections."""
 
     threads = 6
 
     def __init__(self, address, rate):
         self.address = address
         self.rate = rate
-        self.is_over = threading.Event()
-        self.running = []
+        self.is_stopped = threading.Event()
+        self.started_threads = []
 
     def __enter__(self):
         for _ in range(self.threads if self.rate else 0):
             thread = threading.Thread(target=self.call)
             thread.start()
-            self.running.append(thread)
+            self.started_threads.append(thread)
 
     def __exit__(self, *_reason):
-        self.is_over.set()
-        for thread in self.running:
+        self.is_stopped.set()
+        for thread in self.started_threads:
             thread.join()
 
     def call(self):
         host, port = self.address.split(':')
         connection = http.client.HTTPConnection(host, int(port), timeout=10)
         due = time.monotonic()
-        while not self.is_over.is_set():
+        while not self.is_stopped.is_set():
             due += self.threads / self.rate
             connection.request('POST', '/trust/booking/lessons', b'rider')
             answer = connection.getresponse()
--- a/bench/slopes_fit.py
+++ b/bench/slopes_fit.py
@@ -33,7 +33,7 @@
 
 
 def slope_record(points):
-    """The stored form: raw points and fit, rounded to five digits."""
+    """Return the stored form: raw points and fit, with five digits each."""
     fit = {
         name: float(f'{value:.5g}')
         for name, value in asdict(Fit.from_points(points)).items()
--- a/bench/slopes_processes.py
+++ b/bench/slopes_processes.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a small deployment and reads what they use."""
+"""Starts the processes of a small deployment and measures their use."""
 
 import json
 import socket
@@ -20,7 +20,7 @@
 
 
 class Processes:
-    """Ends, by their ids, exactly the processes that it has started."""
+    """Context that starts processes and kills exactly those by their ids."""
 
     def __enter__(self):
         self.running = []
@@ -55,13 +55,13 @@
             {
                 'id': f'entry-{number}',
                 'zone': 'paddock',
-                'caller_address': node.callers,
-                'operator_address': node.scraped,
-                'inner_address': node.inner,
+                'caller_address': node.caller_address,
+                'operator_address': node.http_address,
+                'inner_address': node.inner_address,
                 'store_url': f'http://{table}',
                 'inner_secret': SECRET,
                 'operator_token': TOKEN,
-                # As at the coming size: one shard for each entry.
+                # The expected size of deployments has one shard for each entry.
                 'shards': 1,
             }
         )
@@ -77,7 +77,7 @@
                 'zone': 'paddock',
                 'rack': 'rack-0',
                 'capacity': {'cores': 64, 'memory_gb': 64},
-                'announce_address': node.scraped,
+                'announce_address': node.http_address,
                 'entries': entries,
                 'worker_url': f'http://{worker}',
                 'inner_secret': SECRET,
@@ -89,12 +89,18 @@
 
 
 class Node:
-    """One daemon under measurement."""
-
-    def __init__(self, scraped, callers='', inner=''):
-        self.scraped = scraped
-        self.callers = callers
-        self.inner = inner
+    """One daemon under measurement.
+
+    Attributes:
+        http_address: Address that serves metrics and operator requests.
+        caller_address: Address for calls, of an entry.
+        inner_address: Address for agents, of an entry.
+    """
+
+    def __init__(self, http_address, caller_address='', inner_address=''):
+        self.http_address = http_address
+        self.caller_address = caller_address
+        self.inner_address = inner_address
         self.process = None
 
     def wait(self):
@@ -107,25 +113,25 @@
         raise SystemExit('a daemon did not start')
 
     def scrape(self):
-        url = f'http://{self.scraped}/metrics'
-        with urllib.request.urlopen(url, timeout=10) as answer:
-            text = answer.read().decode()
+        url = f'http://{self.http_address}/metrics'
+        with urllib.request.urlopen(url, timeout=10) as response:
+            text = response.read().decode()
         pairs = (line.rpartition(' ') for line in text.splitlines())
         return {
-            name.removeprefix('hyssopring_'): float(level)
-            for name, _, level in pairs
+            name.removeprefix('hyssopring_'): float(reading)
+            for name, _, reading in pairs
         }
 
     def operate(self, method, path, document=None):
         body = None if document is None else json.dumps(document).encode()
         request = urllib.request.Request(
-            f'http://{self.scraped}/v1/{path}',
+            f'http://{self.http_address}/v1/{path}',
             body,
             {'Authorization': f'Bearer {TOKEN}'},
             method=method,
         )
-        with urllib.request.urlopen(request, timeout=10) as answer:
-            return json.load(answer)
+        with urllib.request.urlopen(request, timeout=10) as response:
+            return json.load(response)
 
     def configure(self):
         for key, document in (
@@ -137,13 +143,13 @@
             self.operate('PUT', f'configuration/{key}', document)
 
     def measure(self, seconds):
-        """What the daemon uses per second over a window."""
+        """Return the resources used per second over a window of seconds."""
         before, start = self.scrape(), time.monotonic()
         time.sleep(seconds)
-        after, took = self.scrape(), time.monotonic() - start
+        after, took_s = self.scrape(), time.monotonic() - start
 
         def rate(name, scale=1.0):
-            return (after[name] - before.get(name, 0)) * scale / took
+            return (after[name] - before.get(name, 0)) * scale / took_s
 
         figures = {
             'cpu': rate('process_cpu_seconds', 1000),
--- a/bench/sockets.py
+++ b/bench/sockets.py
@@ -1,8 +1,8 @@
 """Latency and processor time through entry and agent, over real sockets.
 
-One run measures the same caller twice, in turns: straight to a backend
-server, and through entry and agent to the same backend server. Ratios within
-the run are what counts; absolute figures belong to the machine.
+A run measures the same caller alternately on two paths: directly to a backend
+server, and through entry and agent to the same backend server. Compare ratios
+within a run; absolute figures depend on the machine.
 
     python -m bench.sockets [--seconds N] [--profile entry|agent]
 """
@@ -44,7 +44,7 @@
     def __init__(self, folder, profile):
         self.folder = pathlib.Path(folder)
         self.profile = profile
-        self.by_role = {}
+        self.process_by_role = {}
         names = 'table callers operators inner announce worker backend'.split()
         self.address = dict(zip(names, free_ports(len(names))))
 
@@ -54,7 +54,7 @@
         if role == self.profile:
             stats = str(self.folder / f'{role}.prof')
             command += ['-m', 'cProfile', '-o', stats]
-        self.by_role[role] = subprocess.Popen(
+        self.process_by_role[role] = subprocess.Popen(
             [*command, '-m', *arguments], cwd=ROOT, stdout=log, stderr=log
         )
 
@@ -132,13 +132,13 @@
         time.sleep(3)
 
     def cpu_seconds(self, role):
-        pid = self.by_role[role].pid
+        pid = self.process_by_role[role].pid
         fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
         return (int(fields[13]) + int(fields[14])) / TICKS_PER_SECOND
 
     def stop(self):
         for role in ('entry', 'agent', 'backend', 'worker', 'table'):
-            process = self.by_role.get(role)
+            process = self.process_by_role.get(role)
             if process is None:
                 continue
             process.send_signal(signal.SIGTERM)
@@ -169,7 +169,7 @@
             self.free.put_nowait(pair)
 
     async def call(self):
-        """One request; the wait for a free connection counts too."""
+        """Send one request; its latency includes the wait for a connection."""
         started = time.perf_counter()
         reader, writer = await self.free.get()
         writer.write(self.request)
@@ -190,7 +190,7 @@
 
 
 async def closed_loop(caller, seconds, callers=CONNECTIONS):
-    """Return requests per second with so many callers always waiting."""
+    """Return requests per second with a fixed number of callers."""
     end = time.monotonic() + seconds
 
     async def loop():
@@ -205,7 +205,7 @@
 
 
 async def open_loop(caller, rate, seconds, rng):
-    """Send with Poisson arrivals, whatever has been answered."""
+    """Send with Poisson arrivals, independent of earlier responses."""
     tasks = []
     end = time.monotonic() + seconds
     due = time.monotonic()
@@ -243,10 +243,13 @@
         await open_loop(through, capacity / 2, seconds / 3, rng)
     print(f'half load, {capacity / 2:.0f} requests/s, in turns:')
     for name, share in (('p50', 0.5), ('p99', 0.99)):
-        straight, routed = direct.percentile(share), through.percentile(share)
+        direct_ms, routed_ms = (
+            direct.percentile(share),
+            through.percentile(share),
+        )
         print(
-            f'  {name}: direct {straight:.2f} ms, through {routed:.2f} ms, '
-            f'ratio {routed / straight:.2f}'
+            f'  {name}: direct {direct_ms:.2f} ms, through {routed_ms:.2f} ms, '
+            f'ratio {routed_ms / direct_ms:.2f}'
         )
     print(f'errors: {direct.errors} direct, {through.errors} through')
 
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -1,7 +1,8 @@
 """Processor time, modules and peak memory of a role's start on the platform.
 
-Each way of starting is measured in turns with the others, in processes that
-import a role's modules and end. Medians; absolute figures are the machine's.
+The variants of starting are measured alternately, in processes that import the
+modules of a role and exit. Prints medians; absolute figures depend on the
+machine.
 
     python -m bench.startup [--runs N]
 """
@@ -26,22 +27,26 @@
 
 
 @dataclass(frozen=True)
-class Way:
-    """One way of starting a role."""
+class StartVariant:
+    """A variant of starting a role.
+
+    Attributes:
+        before: Code that runs before the imports.
+    """
 
     name: str
     before: str = ''
 
 
-WAYS = (
-    Way('plain'),
-    Way('no collector', 'import gc; gc.disable()'),
+START_VARIANTS = (
+    StartVariant('plain'),
+    StartVariant('no collector', 'import gc; gc.disable()'),
 )
 
 
-def started(role, way):
-    """Start once: processor seconds, peak memory in KB, modules."""
-    code = IMPORT.format(role=role, before=way.before)
+def measure_start(role, variant):
+    """Start once; return processor seconds, peak memory in KB, modules."""
+    code = IMPORT.format(role=role, before=variant.before)
     run = subprocess.run(
         [sys.executable, '-c', code],
         capture_output=True,
@@ -53,20 +58,20 @@
 
 
 def report(role, runs):
-    """Measure all ways in turns and print a line for each."""
-    told = {way: [] for way in WAYS}
-    for way in WAYS:
+    """Measure all variants alternately and print a line for each."""
+    figures_by_variant = {variant: [] for variant in START_VARIANTS}
+    for variant in START_VARIANTS:
         # The first start of all may have to write bytecode.
-        started(role, way)
+        measure_start(role, variant)
     for _run in range(runs):
-        for way, figures in told.items():
-            figures.append(started(role, way))
-    for way, figures in told.items():
+        for variant, figures in figures_by_variant.items():
+            figures.append(measure_start(role, variant))
+    for variant, figures in figures_by_variant.items():
         seconds, peaks_kb, modules = zip(*figures)
         millis = statistics.median(seconds) * MILLIS_PER_SECOND
         peak_mb = statistics.median(peaks_kb) / KB_PER_MB
         print(
-            f'{role:6} {way.name:12} {millis:5.0f} ms of processor time, '
+            f'{role:6} {variant.name:12} {millis:5.0f} ms of processor time, '
             f'peak {peak_mb:.1f} MB, {max(modules)} modules'
         )
 
--- a/bench/store_groups.py
+++ b/bench/store_groups.py
@@ -1,7 +1,7 @@
-"""Small transactions a second through a table of 300, alone and merged.
+"""Throughput of small transactions on a slow table, alone and merged.
 
-``python -m bench.store_groups`` prints the ratio. Virtual time: the table
-takes 1/300 s for each transaction, one after the other, whatever its size.
+``python -m bench.store_groups`` prints the ratio. In virtual time, the
+table processes transactions in sequence, each in 1/300 s whatever its size.
 """
 
 import random
@@ -18,7 +18,9 @@
 SECONDS = 20
 
 
-class Rig:
+class Simulation:
+    """Clients that commit in a closed loop through one store queue."""
+
     def __init__(self, clients, max_merged):
         self.loop = Loop()
         self.table = Table()
@@ -37,10 +39,10 @@
         self.loop.later(delay_ms, action)
 
     def send_commit(self, group, timeout_ms, done):
-        start = max(self.loop.now + NETWORK_MS / 2, self.free_at)
-        self.free_at = start + 1000 / TABLE_PER_S
-        wait = self.free_at + NETWORK_MS / 2 - self.loop.now
-        self.loop.later(wait, self.answer, group, done)
+        started_at = max(self.loop.now + NETWORK_MS / 2, self.free_at)
+        self.free_at = started_at + 1000 / TABLE_PER_S
+        delay_ms = self.free_at + NETWORK_MS / 2 - self.loop.now
+        self.loop.later(delay_ms, self.answer, group, done)
 
     def answer(self, group, done):
         answer = self.table.commit(
@@ -63,9 +65,9 @@
 
 
 def measure(clients, max_merged):
-    rig = Rig(clients, max_merged)
-    rig.loop.run(SECONDS * 1000)
-    return rig.finished / SECONDS
+    simulation = Simulation(clients, max_merged)
+    simulation.loop.run(SECONDS * 1000)
+    return simulation.finished / SECONDS
 
 
 def main():
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -1,12 +1,12 @@
-"""Plays deployments that nobody has seen: variants of a site file, by seed.
+"""Random variants of a site file, to test deployments not seen before.
 
-A site file of the users' bench describes a deployment. This writes copies of
-it with other shares of gangs, timed jobs, labels, racks and copies, other VM
-counts and kinds of workers, and plays days of each.
+A site file of the users' bench describes a deployment. This writes copies with
+other shares of gangs, timed jobs, labels, racks and copies, other VM counts and
+kinds of workers, and simulates days of each.
 
     python -m bench.variants SITE OUT --program FLEETBENCH --count 20 --seed 1
 
-``OUT`` lies outside the repository: a variant is mostly the users' own text.
+``OUT`` must be outside the repository: a variant is mostly the users' text.
 """
 
 import pathlib
@@ -21,8 +21,8 @@
 
 __all__ = ('main', 'variant')
 
-# Most variants have some of these features, and each is absent in a few: a
-# fault that two of them cause together shows as well as that of one alone.
+# Most variants have some of these features and lack others, so that faults of a
+# single feature and of combinations both show.
 _CHANCE: Final = 0.5
 _KINDS_BEFORE: Final = 'kinds = ["a"]'
 _KINDS_AFTER: Final = 'kinds = ["a", "b"]'
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class _Feature:
-    """One figure of a class of jobs, and what it is set to where it occurs."""
+    """A number in the line of a job class and the draw of its new value."""
 
     name: str
     draw: Draw
@@ -56,7 +56,7 @@
 
 
 def variant(text: str, seed: int) -> str:
-    """Return a site file's text changed by a seed."""
+    """Return the text of a site file with changes drawn from a seed."""
     rng = random.Random(seed)  # noqa: S311 -- repeatable, not secret
     lines = [_vary(line, rng) for line in text.splitlines()]
     changed = '\n'.join(lines)
@@ -78,7 +78,7 @@
 
 
 def _vary_jobs(line: str, rng: random.Random) -> str:
-    """Tasks that last stay what they are but for labels and spreading."""
+    """Vary the job features; keepers get no gangs, timers or locality."""
     is_keeper = 'lasts = true' in line
     for feature in _FEATURES:
         if is_keeper and feature.name in {'gang', 'timed', 'near'}:
@@ -110,11 +110,11 @@
         target = folder / f'{source.stem}-{number}.toml'
         target.write_text(variant(source.read_text(), number))
         if program:
-            _play(program, target, days, jobs)
+            _simulate(program, target, days, jobs)
 
 
-def _play(program: str, site: pathlib.Path, days: int, jobs: int) -> None:
-    """Hunt on a variant; its output goes beside it, broken days are shown."""
+def _simulate(program: str, site: pathlib.Path, days: int, jobs: int) -> None:
+    """Run `hunt` on a variant, write its output to a log, print broken days."""
     command = [
         program,
         'hunt',
